--- a/Source/Admission/CallerPatience.cpp
+++ b/Source/Admission/CallerPatience.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/** With each request; half of a difference is forgotten after about 140. */
+/** Decay of the longest time per request; half of a difference is forgotten after about 140 requests. */
 constexpr double FadingShare = 0.005;
-/** However slow the service is, a caller that has spent less than this of its target is not late. */
+/** A caller that has spent less than this share of its target latency is not late, however slow the service is. */
 constexpr double LeastSpent = 0.5;
 
 }
--- a/Source/Admission/ComeBackTime.cpp
+++ b/Source/Admission/ComeBackTime.cpp
@@ -9,16 +9,15 @@
 constexpr Milliseconds Shortest{ 100 };
 constexpr Milliseconds Longest{ 3000 };
 /**
- * Servers may ask for pauses of hours, and others may be started meanwhile. The spread is as long as what is left, so
- * that those refused during the pause do not come back faster than they came.
+ * Bounds the delay because servers may ask for pauses of hours, while others may be started meanwhile. Delays are
+ * spread over a period as long as the rest of the pause, so that the callers refused during the pause do not return at
+ * a higher rate than they arrived.
  */
 constexpr Milliseconds LongestPause{ 10000 };
 /**
- * Of the usual time, after backend servers that had room refused the request
- * and the budget for further attempts is spent: another try may well succeed,
- * and its answer can still be in time. On a day on which all servers of a
- * service refuse half of their requests for 8.5 s, 780 callers of about 9,800
- * were late with it and 922 without.
+ * Share of the usual delay when backend servers with free slots refused the request and the retry budget is spent:
+ * another try may well succeed, and its answer can still be in time. While all servers of a service refused half of
+ * their requests for 8.5 s, 780 of about 9,800 callers were late with the shorter delay and 922 without it.
  */
 constexpr double SoonShare = 0.15;
 
--- a/Source/Admission/ComeBackTime.h
+++ b/Source/Admission/ComeBackTime.h
@@ -5,16 +5,16 @@
 
 namespace burlreach {
 
-/** Told to callers when nothing is known of a route or no backend server is there. */
+/** Retry delay for callers when the route is not known or there is no backend server. */
 inline constexpr Milliseconds UsualComeBack{ 1000 };
 
 /**
- * When a caller refused for this reason should come back. The random part, 0
- * to 1, spreads those that were refused together.
+ * The time after which a caller that was refused for this reason should retry. `random`, from 0 to 1, spreads the
+ * retries of callers that were refused together.
  */
 Milliseconds comeBackAfter(RefusalReason reason, Milliseconds targetLatency, double random);
 
-/** The same while all servers have asked for a pause that lasts so much longer. */
+/** The same when no server may be sent anything for the time `left`, such as during a pause that all have asked for. */
 Milliseconds comeBackAfterPause(Milliseconds left, double random);
 
 }
--- a/Source/Admission/TokenShare.h
+++ b/Source/Admission/TokenShare.h
@@ -2,18 +2,19 @@
 
 namespace burlreach {
 
-/** Lets a bounded share of what arrives have something that not all can have. */
+/** Token bucket that is filled by arrivals instead of by time: admits a bounded share of the arrivals. */
 class TokenShare {
 public:
     struct Options {
-        double share = 0.1; // of the arrivals
-        double most = 3; // saved up for a moment when several need it
+        double share = 0.1; // tokens per arrival
+        double most = 3; // maximum of saved tokens, for bursts
     };
 
     explicit TokenShare(const Options& options);
 
+    /** Counts an arrival, whether or not it needs a token. */
     void arrived();
-    /** True when one more may have it; it is then counted. */
+    /** Takes a token; false when there is none. */
     bool take();
 
 private:
--- a/Source/Admission/WaitingQueue.cpp
+++ b/Source/Admission/WaitingQueue.cpp
@@ -7,6 +7,7 @@
 
 namespace {
 
+/** After this many requests of the lowest rank, one of the next rank is taken. */
 constexpr unsigned FirstPlacesInARow = 19;
 
 }
--- a/Source/Admission/WaitingQueue.h
+++ b/Source/Admission/WaitingQueue.h
@@ -13,20 +13,19 @@
 using RequestNumber = std::uint64_t;
 
 /**
- * Requests that wait for a backend server with room: the lowest rank first,
- * within a rank in the order of arrival. So that the others keep moving, every
- * few places go to the next rank that has somebody waiting.
+ * Priority queue of requests that wait for a backend server with a free slot: lowest rank first, and first in, first
+ * out within a rank. Every 20th request is taken from the second lowest rank present, so that it does not starve.
  */
 class WaitingQueue {
 public:
     void push(std::uint32_t rank, RequestNumber request);
-    /** Puts a request that was taken out back to its front. */
+    /** Returns a request that was taken out to the front of its rank. */
     void pushFront(std::uint32_t rank, RequestNumber request);
     std::optional<RequestNumber> pop();
     void remove(RequestNumber request);
 
     std::size_t size() const;
-    /** How many leave the queue before a new request of this rank. */
+    /** How many requests are ahead of a new request of this rank. */
     std::size_t ahead(std::uint32_t rank) const;
 
 private:
--- a/Source/Attempts/AttemptRules.cpp
+++ b/Source/Attempts/AttemptRules.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/** Attempts that did not run do not count against a route's bound, but they end somewhere. */
+/** Attempts that provably did not run do not count towards the route's maximum of attempts, so they need their own. */
 constexpr unsigned MostProvedNotRun = 5;
 
 }
--- a/Source/Attempts/AttemptRules.h
+++ b/Source/Attempts/AttemptRules.h
@@ -6,22 +6,22 @@
 
 namespace burlreach {
 
-/** What has happened to a request so far. */
+/** The attempts of a request so far. */
 struct AttemptHistory {
-    unsigned mayHaveRun = 0; // backend servers that may have run it, those under way included
-    unsigned provedNotRun = 0; // attempts that were proved not to have run
+    unsigned mayHaveRun = 0; // attempts that may have run at a backend server, those in flight included
+    unsigned provedNotRun = 0; // attempts that provably did not run
 };
 
-/** True when a request may be sent once more after this end, apart from any budget. */
+/** True when a request may be retried after this result, apart from the retry budget. */
 bool mayTryAgain(const Route& route, const AttemptHistory& history, AttemptResult result);
 
-/** As what one more attempt after this end is counted. */
+/** The reason under which a retry after this result is counted. */
 RetryReason retryReasonOf(AttemptResult result);
 
-/** True when a second attempt may begin while the first is under way. */
+/** True when a second attempt may start while the first one is in flight. */
 bool mayHedge(const Route& route, const AttemptHistory& history);
 
-/** An attempt that never reached a backend server is no load on it and needs no budget. */
+/** False after an attempt that did not reach a backend server: it was no load on the server, so its retry is free. */
 constexpr bool needsBudget(AttemptResult result)
 {
     return result != AttemptResult::NotSent;
--- a/Source/Attempts/RetryBudget.cpp
+++ b/Source/Attempts/RetryBudget.cpp
@@ -6,10 +6,13 @@
 
 namespace {
 
-/** Windows of the fleet's bound begin at any moment; this much of the bound is kept back for that. */
+/**
+ * Share of the bound that is used; the rest is a reserve, because the bound applies to windows that start at any time.
+ */
 constexpr double Used = 0.85;
+/** Share of the budget that hedges may use. */
 constexpr double HedgePart = 0.7;
-/** A fleet that is not known yet is taken to be at least this large. */
+/** Smallest fleet size to assume while the fleet is not known yet. */
 constexpr std::size_t FewestInstances = 8;
 
 }
--- a/Source/Attempts/RetryBudget.h
+++ b/Source/Attempts/RetryBudget.h
@@ -5,31 +5,31 @@
 
 namespace burlreach {
 
-/** The bound on retries that the whole fleet keeps for one service. */
+/** The bound on retries of one service by the whole fleet. */
 struct RetryLimits {
     double share = 0.1; // of the first attempts within the window
-    double slack = 0; // retries that the fleet may make beyond that within the window
+    double slack = 0; // further retries of the whole fleet within the window
     Milliseconds window{ 10000 };
 };
 
 /**
- * This instance's part of the fleet's bound on retries and hedges.
+ * This instance's share of the fleet's bound on retries and hedges.
  *
- * Each instance keeps to the share of its own first attempts, so the bound on
- * the sum holds however many instances there are and whether or not they can
- * see each other. Only the slack needs a count of the instances; it is divided
- * by twice as many, so that restarts do not spend it twice.
+ * Each instance retries at most a share of its own first attempts, so that the bound on the sum holds for any number of
+ * instances, whether or not they know each other. Only the slack depends on the number of instances. It is divided by
+ * twice that number, so that instances that restart do not spend it twice.
  */
 class RetryBudget {
 public:
     explicit RetryBudget(const RetryLimits& limits);
 
-    /** The limits stay; the fleet has this many instances. */
+    /** Sets the size of the fleet. */
     void setInstances(std::size_t instances) { this->instances = instances; }
+    /** Counts a first attempt, which adds to the budget. */
     void firstAttempt(Milliseconds now);
-    /** True when one more attempt may be made; it is then counted. */
+    /** Takes one retry from the budget; false when it is used up. */
     bool take(Milliseconds now);
-    /** As take(), but leaves a part of the budget to retries after failures. */
+    /** The same for a hedge, but leaves a part of the budget for retries after failures. */
     bool takeForHedge(Milliseconds now);
 
 private:
--- a/Source/Attempts/SlidingCount.h
+++ b/Source/Attempts/SlidingCount.h
@@ -8,7 +8,7 @@
 
 namespace burlreach {
 
-/** Counts events within the latest window, to a twentieth of the window. */
+/** Counts the events within a sliding window, with a resolution of a twentieth of the window. */
 class SlidingCount {
 public:
     explicit SlidingCount(Milliseconds window);
--- a/Source/Crashes/BrokenAttempts.h
+++ b/Source/Crashes/BrokenAttempts.h
@@ -12,7 +12,7 @@
 
 namespace burlreach {
 
-/** An attempt whose connection broke before an answer. */
+/** An attempt whose connection closed before an answer. */
 struct BrokenAttempt {
     RequestDigest digest;
     std::string backendServer; // id
@@ -24,58 +24,63 @@
     std::string caller;
 };
 
-/** A server whose process may have ended. */
+/** A server that may have crashed. */
 struct ServerToCheck {
     std::string backendServer; // id
     NetworkAddress address;
 };
 
 /**
- * Attempts whose connections broke, until it is known whether their servers
- * ended.
+ * Holds attempts whose connections broke until it is known whether their servers crashed.
  *
- * Connections also break at servers that are full, that lose or spoil answers,
- * and on the way; only the end of the process says something of a request. So
- * the server is looked at, by new connections that are used afterwards: where
- * nobody listens any more the process has ended. Where one comes up the process
- * may still be ending, so there is a second look. An end that comes later has
- * another cause.
+ * Connections also break when servers are full, lose or corrupt answers, or because of the network. Only the end of the
+ * server's process is evidence against a request. So the server is checked with new connections, which are used for
+ * requests afterwards:
+ * - If the connection is refused, the process has ended and the server crashed.
+ * - If it is established, the process may still be ending, so there is a second check shortly afterwards. If that one
+ *   succeeds as well, the server lives, and a later crash has another cause.
  */
 class BrokenAttempts {
 public:
     struct Options {
-        Milliseconds kept{ 1000 }; // by then both looks have ended
-        Milliseconds secondLook{ 30 }; // after the first one; meanwhile the server may end from another cause
-        /** The loss of a data centre breaks a few hundred at one instance; the rest of them says no more. */
+        Milliseconds kept{ 1000 }; // maximum age of an attempt; both checks have ended by then
+        /** Time between the checks; short, because the server may crash for another reason meanwhile. */
+        Milliseconds secondLook{ 30 };
+        /**
+         * Maximum number of attempts. The loss of a data centre breaks a few hundred at one instance; more add nothing.
+         */
         std::size_t most = 256;
     };
 
     explicit BrokenAttempts(Options options);
 
-    /** True when the server should be looked at; false while that is under way, or when too many wait. */
+    /**
+     * Adds an attempt. True when its server should be checked now; false while a check is pending, or when too many
+     * attempts wait.
+     */
     bool add(const BrokenAttempt& attempt, Milliseconds now);
-    /** The server's process has ended: gives its attempts, which are no longer kept. */
+    /** The server has crashed: removes its attempts and returns them. */
     std::vector<BrokenAttempt> ended(std::string_view backendServer);
-    /** A connection came up: there will be another look, or that was it and the server lives. */
+    /** A check established a connection: schedules the second check, or ends the checks if that was the second. */
     void cameUp(std::string_view backendServer, Milliseconds now);
-    /** Servers whose second look begins now. */
+    /** Starts the second checks that are due and returns their servers. */
     std::vector<ServerToCheck> takeDue(Milliseconds now);
-    /** When the next second look is due; Never when there is none. */
+    /** When the next second check is due; Never without one. */
     Milliseconds nextLook() const;
-    /** It cannot be told whether the process ended, or it lives: they are forgotten. */
+    /** Removes the attempts of a server that lives, or of which it is not known whether it crashed. */
     void forget(std::string_view backendServer);
-    /** Of this request; each may be the end of a server. */
+    /** Number of broken attempts of this request, each of which may be a crash. */
     std::size_t of(const RequestDigest& digest) const;
     std::size_t size() const { return this->attempts.size(); }
 
 private:
     enum class Step {
-        First, // under way
-        Between,
-        Second // under way
+        First, // first check in progress
+        Between, // waits for the second check
+        Second // second check in progress
     };
 
-    /** A server that is looked at. */
+    /** The checks of a server. */
     struct Look {
         ServerToCheck server;
         Step step = Step::First;
--- a/Source/Crashes/CrashTable.cpp
+++ b/Source/Crashes/CrashTable.cpp
@@ -12,14 +12,15 @@
 
 namespace {
 
-/** Two attempts see the same end of a server at times that differ by less: no process is back within it. */
+/** Attempts that broke at one server within this time saw the same crash: no process restarts faster. */
 constexpr Milliseconds SameEnd{ 1000 };
 /**
- * Ends closer together are one event, such as the loss of a rack: instances see its ends within a few milliseconds,
- * while a request needs its work and a way to the next server.
+ * Crashes that are closer together than this count as one event, such as the loss of a rack, whose crashes instances
+ * see within a few milliseconds. A request that crashes servers one after another takes longer to reach and crash the
+ * next.
  */
 constexpr Milliseconds SameMoment{ 15 };
-/** Of callers of one request whose answers are remembered. */
+/** Maximum number of callers of one request whose answers are remembered. */
 constexpr std::size_t MostAnswers = 16;
 
 std::size_t addressesOf(std::span<const ServerEnd> ends)
@@ -38,7 +39,7 @@
     return callers.size();
 }
 
-/** One end for each server, the first one heard. */
+/** Without duplicates of the same crash; the first one in the list stays. */
 std::vector<ServerEnd> distinctOf(std::span<const ServerEnd> ends)
 {
     std::vector<ServerEnd> distinct;
@@ -182,7 +183,7 @@
         this->expire(now);
     if (this->entries.size() < this->options.mostRequests)
         return;
-    // The one that is the least likely to matter: fewest ends, then the oldest.
+    // Evicts the request that is least likely to be the cause of crashes: fewest crashes, then the oldest last crash.
     const auto rank = [](const Entry& entry) { return std::pair(entry.ends.size(), entry.lastEnd()); };
     const auto least = std::min_element(this->entries.begin(), this->entries.end(),
         [&](const auto& left, const auto& right) { return rank(left.second) < rank(right.second); });
@@ -219,7 +220,7 @@
     const std::size_t own = entry.servers;
     return std::any_of(this->entries.begin(), this->entries.end(), [&](const auto& item) {
         const std::size_t others = item.second.servers;
-        // With three ends each, nothing tells the two apart: the next end does.
+        // With three crashes each, the two requests cannot be told apart until the next crash.
         const bool isHeavier = others > own || (others == own && own == ServersThatProve);
         return others >= ServersThatProve && isHeavier && item.first != digest && item.second.has(end);
     });
@@ -235,7 +236,8 @@
         else
             unexplained.push_back(end.at);
     }
-    // Two requests that crash servers may have met at some of them: that costs each of them one more end, not several.
+    // Two requests that both crash servers may have met at several servers: explained crashes together count as one, so
+    // that the overlap costs a request one further crash instead of several.
     return momentsOf(std::move(unexplained)) + (explained > 1 ? 1 : 0);
 }
 
@@ -285,7 +287,7 @@
 {
     if (ends.size() < ServersThatProve)
         return false;
-    // One server that goes down and up by itself says nothing of the requests there.
+    // Repeated crashes of a single server are no evidence against the requests there.
     const bool isElsewhereToo = oneAddress || addressesOf(ends) > 1;
     return isElsewhereToo && this->counted(digest, entry, ends) >= ServersThatProve;
 }
--- a/Source/Crashes/CrashTable.h
+++ b/Source/Crashes/CrashTable.h
@@ -14,129 +14,136 @@
 
 namespace burlreach {
 
-/** A request as it comes from one address. */
+/** A request of one caller. */
 struct CallersRequest {
     RequestDigest digest;
     std::uint64_t caller = 0; // see callerNumber()
-    bool hasOneAddress = false; // its service has one backend server only
+    bool hasOneAddress = false; // its service has only one backend server
 };
 
 /**
- * Under which requests servers ended, and which of these requests are refused
- * for it.
+ * Records which requests were in flight at servers that crashed, and decides which of these requests are refused
+ * because they crash servers.
  *
- * A server ends under all requests that are there, and mostly one of them is
- * the cause. So a request is found to crash servers when three ended under it,
- * at moments and addresses that differ, and it was answered nowhere in between.
- * That holds for the request of one caller; where it came from several, and none
- * of them had an answer, for all callers.
+ * Input: crashes and answers, seen by this instance, received from other instances or read from the store. A crash is
+ * recorded against every request that was in flight at the server, although mostly one of them is the cause.
  *
- * An end does not count against a request where another one, found to crash
- * servers, was there too and more servers ended under that one. Of 100 requests
- * that each met 15 in 100 of the 30 ends of such a one, 76 met three or more;
- * none is refused with this rule (CrashTable test).
+ * Decision: a request is found to crash servers when three crashes count against it, at different times and at more
+ * than one address, without an answer in between. A service with a single backend server needs only different times.
+ * - The crashes of each caller's requests are evaluated separately, so that one caller's request is not refused for
+ *   what others sent. If several callers sent the same request and none had an answer, their crashes are evaluated
+ *   together, and the result applies to all callers.
+ * - A crash does not count against a request if another request, under which three or more servers crashed, was there
+ *   too and has more crashes, as that one is the likelier cause. Of 100 requests that were each present at 15 % of the
+ *   30 crashes caused by one other request, 76 were present at three or more; none is refused with this rule
+ *   (CrashTable test). All crashes that are explained in this way count as one if there are several, so that two
+ *   requests that both crash servers are both found.
  *
- * The ends are a set that only grows, whoever tells of them and however often,
- * until an answer clears the request or its time is over. So instances that
- * have heard the same come to the same result.
+ * Output: a request that is found to crash servers is refused for some time after its last crash. Then it may be tried
+ * at one server, and each further crash makes the time longer.
+ *
+ * Crashes form a set that only grows, in any order and with any number of duplicates, until an answer clears the
+ * request or its crashes expire. So instances that have received the same reports reach the same result.
  */
 class CrashTable {
 public:
     struct Options {
-        std::string instance; // further tries are spread over the instances by this name
-        std::size_t mostRequests = 512; // 512 of 16 ends take some 600 KB, worked out
-        std::size_t mostEnds = 16; // kept of one request; more of them say nothing new
-        /** A request under which one server ended: callers that try again do so within seconds. */
+        std::string instance; // name of this instance; spreads the times of tries over the instances
+        std::size_t mostRequests = 512; // about 600 KB with 16 crashes each
+        std::size_t mostEnds = 16; // crashes kept of one request; more would not change the result
+        /** How long a request with a single crash is kept: callers that retry do so within seconds. */
         Milliseconds singlesKept{ 60000 };
-        Milliseconds suspectsKept{ 600000 }; // under which two ended
-        Milliseconds crashingKept{ 86400000 }; // found to crash servers
+        Milliseconds suspectsKept{ 600000 }; // the same for a request with two crashes
+        Milliseconds crashingKept{ 86400000 }; // the same for a request with three or more crashes
         /**
-         * Refused for so long after the last end, then it may try one server; each further end makes the time thirty
-         * times as long. So one that was taken for the cause by mistake is served again after 10 to 20 s, and one that
-         * is the cause is tried three times more within a day: after 10 s, 5 minutes and 2.5 hours.
+         * How long a request is refused after the last crash, before it is tried at one server again. Each further
+         * crash multiplies the time by `growth`. So a request that was found by mistake is served again after 10 to 20
+         * s, and one that does crash servers is tried only three more times within a day: after 10 s, 5 minutes and 2.5
+         * hours.
          */
         Milliseconds firstRefusal{ 10000 };
         double growth = 30;
         Milliseconds longestRefusal{ 86400000 };
-        double spread = 1; // of the time, over the instances: the first to try tells the others
-        Milliseconds tryGap{ 5000 }; // between two tries from here, in case that no end is seen
-        /** After an answer: older knowledge of the request may still be told for so long. */
+        double spread = 1; // random share added to the time, by instance: the first one to try informs the others
+        /** Minimum time between two tries by this instance, for when a try shows neither an answer nor a crash. */
+        Milliseconds tryGap{ 5000 };
+        /** How long an answer is kept: other instances may still send older crashes of the request for this long. */
         Milliseconds answersKept{ 60000 };
     };
 
-    /** Servers that must have ended under a request. */
+    /** Crashes that must count against a request to find that it crashes servers. */
     static constexpr std::size_t ServersThatProve = 3;
 
     explicit CrashTable(Options options);
 
-    /** True when the end was not known. */
+    /** Records a crash; true when it was not known. */
     bool add(const RequestDigest& digest, const ServerEnd& end, Milliseconds now);
-    /** As add(), from a record without exact times; what an answer has cleared lately stays cleared. */
+    /** The same for a record without exact times; ignored if the request of this caller was answered recently. */
     bool addKept(const RequestDigest& digest, const ServerEnd& end, Milliseconds now);
-    /** A server answered it: what is older does not count. True when that changed something. */
+    /** A server answered the request: older crashes no longer count. True when this changed anything. */
     bool answered(const RequestDigest& digest, std::uint64_t caller, Milliseconds at, Milliseconds now);
-    /** It is sent to a server although it was found to crash servers. */
+    /** The request is sent to a server although it was found to crash servers. */
     void tried(const RequestDigest& digest, Milliseconds now);
-    /** Forgets what is too old. */
+    /** Removes expired crashes and answers. */
     void expire(Milliseconds now);
 
-    /** Ends known of it, from all callers. */
+    /** Known crashes under the request, from all callers. */
     std::span<const ServerEnd> ends(const RequestDigest& digest) const;
-    /** Those that count against it: of the caller for which they are the most, or of all. */
+    /** Number of crashes that count against the request: of the caller with the most, or of all callers together. */
     std::size_t countedEnds(const RequestDigest& digest) const;
-    /** Those that count against it from this caller. */
+    /** Number of crashes that count against the request when it comes from this caller. */
     std::size_t countedEnds(const CallersRequest& request) const;
-    /** Found to crash servers, from one caller or all. */
+    /** True when the request is found to crash servers, from one caller or from all. */
     bool isCrashing(const RequestDigest& digest) const;
-    /** It may not be sent to any server now. */
+    /** True when the request may not be sent to any server now. */
     bool isRefused(const CallersRequest& request, Milliseconds now) const;
-    /** Until when it is refused here, if it is. */
+    /** Until when this instance refuses the request, if it is found to crash servers. */
     Milliseconds refusedUntil(const RequestDigest& digest) const;
-    /** The number of its next end at this server; a look at the same end by another attempt gives the same one. */
+    /** The ordinal for a crash of this server under the request; attempts that saw the same crash get the same one. */
     std::uint32_t nextOrdinal(const RequestDigest& digest, std::uint64_t server, Milliseconds at) const;
 
-    /** When some caller had an answer to it, as far as ends are known; LongAgo: never. */
+    /** Time of the last answer to any caller of a request with known crashes; LongAgo without one. */
     Milliseconds answeredAt(const RequestDigest& digest) const;
-    /** An answer to a request under which servers had ended. */
+    /** An answer to a request under which servers had crashed. */
     struct Answer {
         RequestDigest digest;
         std::uint64_t caller = 0;
         Milliseconds at;
     };
     std::vector<Answer> answersSince(Milliseconds from) const;
-    /** Against which at least so many ends count; with none all that are known. */
+    /** Requests against which at least this many crashes count; all known requests for 0. */
     std::vector<RequestDigest> withCountedEnds(std::size_t least) const;
     std::size_t size() const { return this->entries.size(); }
 
 private:
     struct Entry {
-        std::vector<ServerEnd> ends; // in the order in which they were heard
-        Milliseconds answeredAt = LongAgo; // to some caller
+        std::vector<ServerEnd> ends; // in order of arrival
+        Milliseconds answeredAt = LongAgo; // last answer to any caller
         Milliseconds triedAt = LongAgo;
 
-        std::size_t servers = 0; // that ended; several callers' requests may have met at one
+        std::size_t servers = 0; // distinct crashes; the requests of several callers may have been at the same one
 
         Milliseconds lastEnd() const;
         bool has(const ServerEnd& end) const;
         void endsChanged();
     };
 
-    /** What the ends of a request come to. */
+    /** The evaluation of the crashes of a request. */
     struct Finding {
         std::size_t counted = 0;
         bool isCrashing = false;
     };
-    using Answers = std::map<std::uint64_t, Milliseconds>; // the latest, by caller
+    using Answers = std::map<std::uint64_t, Milliseconds>; // time of the latest answer, by caller
 
     static std::vector<ServerEnd> ofCaller(const Entry& entry, std::uint64_t caller);
-    /** Those that say something of every caller: of several, and without an answer to any. */
+    /** Crashes that count for every caller: those since the last answer, if they come from several callers. */
     static std::vector<ServerEnd> ofAll(const Entry& entry);
     bool isExplained(const RequestDigest& digest, const Entry& entry, const ServerEnd& end) const;
     std::size_t counted(const RequestDigest& digest, const Entry& entry, std::span<const ServerEnd> ends) const;
     bool isProof(
         const RequestDigest& digest, const Entry& entry, std::span<const ServerEnd> ends, bool oneAddress) const;
     Finding findingOf(const RequestDigest& digest, const Entry& entry) const;
-    /** The same, worked out once until something changes: it takes some microseconds for each pair of requests. */
+    /** The same, cached until something changes: the evaluation takes some microseconds for each pair of requests. */
     const Finding& finding(const RequestDigest& digest, const Entry& entry) const;
     void changed() { this->findings.clear(); }
     Milliseconds keptUntil(const RequestDigest& digest, const Entry& entry) const;
@@ -146,8 +153,8 @@
 
     Options options;
     std::unordered_map<RequestDigest, Entry, RequestDigestHash> entries;
-    std::unordered_map<RequestDigest, Answers, RequestDigestHash> answers; // of the last while
-    mutable std::unordered_map<RequestDigest, Finding, RequestDigestHash> findings; // as far as asked for
+    std::unordered_map<RequestDigest, Answers, RequestDigestHash> answers; // recent ones
+    mutable std::unordered_map<RequestDigest, Finding, RequestDigestHash> findings; // cache
 };
 
 }
--- a/Source/Crashes/RequestDigest.h
+++ b/Source/Crashes/RequestDigest.h
@@ -8,33 +8,30 @@
 namespace burlreach {
 
 /**
- * What makes two requests the same one that came again, apart from the address
- * that they come from: callers may be seen under several. Each attempt of a
- * caller has another id.
+ * The properties by which a repeated request is recognised. The caller's address is not one of them, because a caller
+ * may use several. The request id is not one either, because it differs with each try of a caller.
  */
 struct RequestIdentity {
     std::string_view host;
     std::string_view method;
     std::string_view path; // with its query
-    std::uint64_t fields = 0; // a hash of the header fields that stay when the request comes again
+    std::uint64_t fields = 0; // hash of the header fields that stay the same when the request is repeated
     std::string_view body;
 };
 
 /**
- * Tells requests apart by their identity; the same on every instance and in
- * every version.
+ * A hash of the identity of a request, the same on every instance and in every version.
  *
- * 128 bits: among a million requests a second for a year the chance of one
- * accidental pair is below 1 in 10^11. It is not made to withstand callers who
- * search for collisions; they would only get requests of their own choice
- * refused.
+ * With 128 bits, the probability of one accidental collision among a million requests a second for a year is below 1 in
+ * 10^11. It is not designed against callers that search for collisions: they would only get requests of their own
+ * choice refused.
  */
 struct RequestDigest {
     std::uint64_t high = 0;
     std::uint64_t low = 0;
 
     auto operator<=>(const RequestDigest&) const = default;
-    /** False for a request whose identity is not known; such requests are never told to be the same. */
+    /** False for a request whose identity is not known; such requests never count as repeated. */
     bool isKnown() const { return this->high || this->low; }
     /** 32 hexadecimal digits, for log lines and operators. */
     std::string text() const;
@@ -42,7 +39,7 @@
 
 RequestDigest digestOf(const RequestIdentity& identity);
 
-/** Names a caller's address in few bytes, the same on every instance. */
+/** A short identifier of a caller's address, the same on every instance. */
 std::uint64_t callerNumber(std::string_view address);
 
 struct RequestDigestHash {
--- a/Source/Crashes/ServerEnd.h
+++ b/Source/Crashes/ServerEnd.h
@@ -8,20 +8,20 @@
 
 namespace burlreach {
 
-/** The process of a backend server ended while a request was under way there. */
+/** The process of a backend server ended while a request was in flight there. */
 struct ServerEnd {
     std::uint64_t server = 0; // see serverNumber()
-    /** Of the ends of this server under this request: the record of a server may outlast several of its processes. */
+    /** Number of the crash among those of this server under this request: one record may cover several processes. */
     std::uint32_t ordinal = 1;
     NetworkAddress address;
-    std::uint64_t caller = 0; // of the request; see callerNumber()
+    std::uint64_t caller = 0; // that sent the request; see callerNumber()
     Milliseconds at;
 
-    /** True when both tell of the same end, whoever saw it, and under whichever caller's request. */
+    /** True when both describe the same crash, whichever instance saw it, and whichever caller's request was there. */
     bool isSame(const ServerEnd& other) const { return this->server == other.server && this->ordinal == other.ordinal; }
 };
 
-/** Names a life of a backend server in few bytes, the same on every instance. */
+/** A short identifier of a life of a backend server, the same on every instance. */
 std::uint64_t serverNumber(std::string_view id, std::uint64_t life);
 
 }
--- a/Source/Limits/LimitBook.h
+++ b/Source/Limits/LimitBook.h
@@ -11,57 +11,59 @@
 
 namespace burlreach {
 
-/** What one life of a backend server last said of a limit. */
+/** The latest report about the limit of one life of a backend server. */
 struct LimitStatement {
     std::uint64_t life = 0;
-    std::optional<double> perSecond; // requests that it takes from all instances together; nothing: no limit any more
-    Milliseconds at; // heard then; of one that ends a limit: the answered request was sent then
-    bool isHeardHere = false; // in an answer to this instance
+    std::optional<double> perSecond; // requests from all instances together; nullopt: the limit has ended
+    Milliseconds at; // when the limit was received; for the end of a limit: when the answered request was sent
+    bool isHeardHere = false; // received in an answer to this instance, not from another instance
 };
 
-/** What a statement changed. */
+/** What a report changed. */
 enum class LimitChange {
     None,
-    Begun, // the server has named a limit for the first time, or again
+    Begun, // the server has a limit and had none before
     Adjusted,
     Ended
 };
 
 /**
- * The limits that backend servers named in their answers, by id and life.
+ * The limits that backend servers reported in their answers, by id and life.
  *
- * A statement gives way to a newer one only. Answers overtake each other, so
- * one that raises or ends a limit counts when its request was sent after the
- * limit was heard; a lower limit counts at once.
+ * Only a newer report replaces another one. Answers can overtake each other, so a report that raises or ends a limit is
+ * accepted only if its request was sent after the present limit was received. A lower limit is accepted at once.
  */
 class LimitBook {
 public:
     struct Options {
-        /** Of servers, the one that was not heard for the longest time is forgotten first. About 1 MB. */
+        /** The server with the oldest report is dropped first. About 1 MB. */
         std::size_t mostServers = 8192;
-        /** What others told seems as much newer here as it was under way. */
+        /** Reports from other instances appear newer here by the time that the message took; this bounds that time. */
         Milliseconds toldMargin{ 100 };
-        /** For so long the end of a limit is kept, to be told. */
+        /** The end of a limit is kept for this long, so that it can be sent to other instances. */
         Milliseconds endKept{ 10000 };
     };
 
     explicit LimitBook(Options options);
 
-    /** A limit stood in the answer to a request of this time. */
+    /** An answer to a request that was sent at `sentAt` reported a limit. */
     LimitChange heard(
         const std::string& backendServer, std::uint64_t life, double perSecond, Milliseconds sentAt, Milliseconds now);
-    /** A whole answer to a request of this time may have named a limit, which was heard before; or none. */
+    /**
+     * A complete answer arrived to a request that was sent at `sentAt`. If it reported a limit, that has been
+     * recorded before; otherwise the server has no limit any more.
+     */
     LimitChange answered(const std::string& backendServer, std::uint64_t life, Milliseconds sentAt);
-    /** Another instance told it. */
+    /** Another instance passed on a report. */
     LimitChange told(const std::string& backendServer, const LimitStatement& statement);
-    /** Forgets limits that ended some time ago. */
+    /** Removes limits that ended some time ago. */
     void tick(Milliseconds now);
 
-    /** Nothing when this life has no limit. */
+    /** The limit of this life; nullopt without one. */
     std::optional<double> limitOf(std::string_view backendServer, std::uint64_t life) const;
-    /** Null when nothing is known of this life. */
+    /** The latest report of this life; null without one. */
     const LimitStatement* find(std::string_view backendServer, std::uint64_t life) const;
-    /** Of any life. */
+    /** The latest report of the server, whatever its life. */
     const LimitStatement* find(std::string_view backendServer) const;
     const std::map<std::string, LimitStatement, std::less<>>& all() const { return this->statements; }
 
--- a/Source/Limits/PermitSchedule.cpp
+++ b/Source/Limits/PermitSchedule.cpp
@@ -6,9 +6,12 @@
 
 namespace {
 
-/** A server that takes next to nothing is asked so often all the same: only its answers tell when that is over. */
+/** Minimum rate of permits, even for a limit near zero: only answers to requests show when the limit rises or ends. */
 constexpr double LeastPerSecond = 0.2;
-/** Share of the wait in a line of all that were denied a permit within the last second. */
+/**
+ * A denied request waits this share of the time that all requests denied within the last second would take in a
+ * queue.
+ */
 constexpr double LineShare = 0.1;
 constexpr Milliseconds LongestWait{ 4000 };
 constexpr std::size_t MostAccounts = 8192;
--- a/Source/Limits/PermitSchedule.h
+++ b/Source/Limits/PermitSchedule.h
@@ -10,14 +10,13 @@
 
 namespace burlreach {
 
-/** A permit is used within this time after it becomes valid, or not at all. */
+/** A permit expires this long after it becomes valid. */
 inline constexpr Milliseconds PermitLife{ 250 };
 
 /**
- * The permits of all backend servers with a limit, at the instance that grants
- * them: one after another, as far apart as the limit says. None are saved up,
- * so that in any span of time no more are granted than the limit allows in it,
- * and one.
+ * Schedules the permits for all backend servers with a limit, on the instance that grants them. The permits of a server
+ * become valid one after the other, at the interval given by its limit. Unused intervals are not saved, so that in any
+ * period at most one permit more becomes valid than the limit allows.
  */
 class PermitSchedule {
 public:
@@ -25,12 +24,12 @@
         std::string backendServer;
         std::uint64_t life = 0;
         double perSecond = 0;
-        Milliseconds patience; // of the request that wants it
+        Milliseconds patience; // maximum time that the request can wait for the permit
     };
 
     struct Grant {
         bool isGranted = false;
-        Milliseconds wait; // until the permit is valid; of one that is not granted: until it is worth asking again
+        Milliseconds wait; // until the permit is valid; if denied: until it is worth asking again
     };
 
     Grant grant(const Wish& wish, Milliseconds now);
@@ -38,7 +37,7 @@
 private:
     struct Account {
         std::uint64_t life = 0;
-        Milliseconds latest = LongAgo; // permit, which may not be valid yet
+        Milliseconds latest = LongAgo; // when the last granted permit becomes or became valid
         SlidingCount denied{ Second };
     };
 
--- a/Source/Measurement/ProbeDesk.cpp
+++ b/Source/Measurement/ProbeDesk.cpp
@@ -8,19 +8,18 @@
 
 namespace {
 
-/** A fleet that is not known yet is taken to be at least this large. */
+/** Smallest fleet size to assume while the fleet is not known yet. */
 constexpr std::size_t FewestInstances = 4;
 
 constexpr double MostWindowsPerSecond = 4;
 
 /**
- * As many windows a second as probes of this instance's part, within bounds; a
- * whole number of them, so that no second touches one more.
+ * One window per probe of this instance's share, at least 1 and at most MostWindowsPerSecond a second. The number is
+ * whole, so that no second overlaps one window more.
  *
- * With 79 instances beside 18 servers 8 of these may be asked at any moment,
- * from the first one on; a bucket that fills from empty allows none for two
- * seconds. What the fleet keeps back of its budget, 0.2, is for the spread of
- * the draws and for what is held over from one short window to the next.
+ * With 79 instances and 18 servers, an instance may probe 8 of the servers at any time, from the start on; with a token
+ * bucket that starts empty it could send no probe for two seconds. The 0.2 of the fleet's budget that is not shared out
+ * covers the variance of the random draws, and short windows whose budgets are used right after each other.
  */
 Milliseconds windowFor(double perSecond)
 {
--- a/Source/Measurement/ProbeDesk.h
+++ b/Source/Measurement/ProbeDesk.h
@@ -17,7 +17,7 @@
 
 using ProbeNumber = std::uint64_t;
 
-/** A question to a backend server about its load. */
+/** A request that asks a backend server for its load. */
 struct Probe {
     ProbeNumber number = 0;
     std::string backendServer;
@@ -27,52 +27,53 @@
     Milliseconds timeout;
 };
 
-/** What came of a probe. */
+/** The outcome of a probe. */
 struct ProbeEnd {
     bool isAnswered = false;
-    bool isOtherServer = false; // another backend server has the address now
+    bool isOtherServer = false; // another backend server now has the address
     std::optional<LoadFigures> load;
-    std::optional<Milliseconds> coldRemaining; // as it told; zero: it is warm
+    std::optional<Milliseconds> coldRemaining; // as the server reported it; zero: it is warm
 };
 
 /**
- * Sends probes right before choices, within a budget.
+ * Decides which probes may be sent before a backend server is chosen, and keeps track of those in flight.
  *
- * The budget is a number of probes a second for each backend server that the
- * whole fleet keeps: each instance takes its part of it, so a larger fleet
- * does not probe more. Most of it belongs to the instances in the server's own
- * data centre, which send it most of its requests. A server is never asked
- * twice at the same time; who needs its answer waits for the one that is under
- * way.
+ * The budget is a number of probes a second per backend server for the whole fleet. Each instance uses its share of it,
+ * so that a larger fleet does not send more probes. Most of the budget belongs to the instances in the server's own
+ * data centre, because they send it most of its requests. There is at most one probe to a server in flight from an
+ * instance; all requests that need the answer wait for that one.
  *
- * An instance's part may be far less than a probe a second; see DealtBudget.
+ * The share of an instance may be far less than one probe a second; DealtBudget explains how it is spent.
  */
 class ProbeDesk {
 public:
     struct Options {
         Milliseconds timeout{ 250 };
-        double fleetPerSecond = 30; // of one backend server, all instances together
+        double fleetPerSecond = 30; // probes of one backend server, from all instances together
         std::string dataCentre; // of this instance
-        double nearShare = 0.6; // of the fleet's budget, for the instances in the server's own data centre
-        double farShare = 0.2; // for all others; see windowFor() for the rest
+        double nearShare = 0.6; // of the fleet's budget, for all instances in the server's own data centre
+        double farShare = 0.2; // for all other instances; windowFor() explains the rest
     };
 
     ProbeDesk(Options options, Random& random);
 
-    /** The fleet as far as it is known; its instances are taken to be spread evenly. */
+    /** Sets the known size of the fleet. Instances are assumed to be spread evenly over the data centres. */
     void setFleet(std::size_t instances, std::size_t dataCentres);
 
-    /** The probe to send, within a share of the budget, or nothing when one is under way or the budget is spent. */
+    /**
+     * The probe to send. Nothing when the service has no probe path, a probe of the server is in flight, or `share` of
+     * the budget is spent.
+     */
     std::optional<Probe> start(
         const std::shared_ptr<BackendServerState>& server, const std::string& path, double share, Milliseconds now);
     bool isUnderWay(const std::string& backendServer) const { return this->underWay.contains(backendServer); }
-    /** The server that the probe asked; null when it was not sent from here. */
+    /** Ends a probe and returns the server that it was sent to; null when the probe is not known. */
     std::shared_ptr<BackendServerState> ended(ProbeNumber number);
-    /** The server is gone or began anew: nothing is awaited of it. */
+    /** The server is gone or has restarted: no answer is awaited any more. */
     void forget(const std::string& backendServer);
 
 private:
-    /** This instance's part of the budget for the server, in probes a second. */
+    /** This instance's share of the budget for the server, in probes a second. */
     double partOf(const BackendServerState& server, double share) const;
     bool takeAllowance(const BackendServerState& server, double share, Milliseconds now);
 
--- a/Source/Measurement/ServerSearch.cpp
+++ b/Source/Measurement/ServerSearch.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-/** A server whose work takes at most this many times as long is not compared with slower answers. */
+/** When work at a server takes at most this many times as long as usual, no further answers are awaited. */
 constexpr double GoodWorkFactor = 1.25;
-/** With one more request it has no more of its slots taken: one of two, two of three, four of six. */
+/** The same for the share of slots in use after one more request: one of two, two of three, four of six. */
 constexpr double GoodUse = 0.67;
-/** Work that takes less than this many times as long is never held back for: the usual time is a mean. */
+/** Requests are never held back when work takes less than this many times as long: the usual time is a mean. */
 constexpr double UsualWorkFactor = 1.5;
 
 }
@@ -31,7 +31,7 @@
     search.arrivedAt = now;
     search.inTimeUntil = now + beginning.target - beginning.spent;
     search.usualTime = beginning.usualTime;
-    // Also for callers that are late already: a slow server would hold its slot for others' times.
+    // Applies to late callers as well: at a slow server their requests would occupy a slot for several times as long.
     search.holdUntil = now + beginning.target * this->options.holdShare;
     return search;
 }
--- a/Source/Measurement/ServerSearch.h
+++ b/Source/Measurement/ServerSearch.h
@@ -12,74 +12,76 @@
 
 namespace burlreach {
 
-/** A request's search for a backend server that answers it in time. */
+/** The state of a request's search for a backend server that can answer it in time. */
 struct RequestSearch {
     Milliseconds arrivedAt;
-    Milliseconds inTimeUntil; // a later answer is late
-    Milliseconds usualTime; // to the answer of such a request at a server that is well
-    Milliseconds holdUntil; // until then it is held back from servers where it would be late
-    Milliseconds askUntil = Never; // then a round of questions is over
-    unsigned rounds = 0;
-    std::vector<std::string> asked; // backend servers whose figures are awaited
+    Milliseconds inTimeUntil; // answers after this time are late
+    Milliseconds usualTime; // time in which an unloaded server answers such a request
+    Milliseconds holdUntil; // until then the request is not sent to servers where it would be late
+    Milliseconds askUntil = Never; // end of the current round of probes
+    unsigned rounds = 0; // rounds of probes so far
+    std::vector<std::string> asked; // backend servers whose load reports are awaited
 };
 
 /**
- * Looks for a backend server for a request: whom to ask for figures, when
- * enough is known, and when the request is held back for a better server.
+ * Decides for each request which backend servers to probe, when the reports are sufficient to choose one, and how long
+ * to hold the request back for a better server.
  *
- * Servers slow down for moments without a sign, and a request keeps the speed
- * at which it began. So a request that would be late for certain where it could
- * go now is held back, and others are asked meanwhile, as long as a server that
- * is well could still answer it in time. How slow is too slow follows from the
- * request's target and from what its route usually takes; nothing is set.
+ * Before a choice, the servers with the best scores are probed in rounds, unless their reports are fresh. A round ends
+ * when a good server has answered, when all have answered, or after a fixed time.
+ *
+ * Servers slow down for short periods without notice, and a request keeps the speed at which it started. So a request
+ * that would certainly be late at the servers available now is held back while other servers are probed, as long as a
+ * server at usual speed could still answer it in time. How slow is too slow follows from the target latency of the
+ * request and the usual time of its route; it is not a setting.
  */
 class ServerSearch {
 public:
     struct Options {
-        unsigned askedAtOnce = 6; // servers whose figures should be fresh before a choice
-        std::size_t askedAmong = 24; // of the best by what is known; one that may not be asked gives way to the next
-        unsigned mostRounds = 6; // of questions for one request
-        Milliseconds figuresFreshFor{ 25 }; // younger figures are not asked for again
-        Milliseconds figuresTellFor{ 100 }; // who may not be asked now is replaced by another only when its are older
-        Milliseconds longestAsking{ 14 }; // of a round
-        double holdShare = 0.35; // of the target latency, at most
+        unsigned askedAtOnce = 6; // servers whose reports should be fresh before a choice
+        std::size_t askedAmong = 24; // best servers considered for a round; one that may not be probed is skipped
+        unsigned mostRounds = 6; // of probes for one request
+        Milliseconds figuresFreshFor{ 25 }; // a server with a younger report is not probed again
+        Milliseconds figuresTellFor{ 100 }; // a server that may not be probed is replaced only if its report is older
+        Milliseconds longestAsking{ 14 }; // duration of a round
+        double holdShare = 0.35; // of the target latency that a request may be held back
         std::string dataCentre; // of this instance
     };
 
-    /** All outlive this object. */
+    /** All must outlive this object. */
     struct Parts {
         ProbeDesk* probes = nullptr;
         Random* random = nullptr;
         DecisionCounters* counters = nullptr;
     };
 
-    /** What a search for a request begins with. */
+    /** Input for a new search. */
     struct Beginning {
-        Milliseconds target; // latency of its route
-        Milliseconds spent; // by its caller before it came here
+        Milliseconds target; // target latency of the route
+        Milliseconds spent; // time that the caller has spent before this request
         Milliseconds usualTime;
     };
 
     ServerSearch(Options options, Parts parts);
 
     RequestSearch begin(const Beginning& beginning, Milliseconds now) const;
-    /** A round of questions, appended; false when nothing is left to be asked. */
+    /** Starts a round and appends its probes to `questions`; false when there is nothing to wait for. */
     bool ask(RequestSearch& search, const ServiceDescription& service, const ServicePool& pool,
         const RoutingContext& context, std::vector<Probe>& questions) const;
-    /** True while another round of questions may bring a better server than one of which nothing is known. */
+    /** True while another round of probes may start and find a better server than one without a recent report. */
     bool mayAsk(const RequestSearch& search, Milliseconds now) const;
-    /** An awaited server has answered, or will not: true when the request should be given a server now. */
+    /** A probed server has answered or failed to answer: true when a server should be chosen for the request now. */
     bool isEnough(RequestSearch& search, const BackendServerState& server, Milliseconds now) const;
     /**
-     * Servers where work takes more times as long than this are no choice for
-     * the request at the moment; infinite when any server is better than none.
+     * How many times longer than usual work may take at a server for it to be chosen now; infinite when any server is
+     * better than none.
      */
     double longestWork(const RequestSearch& search, Milliseconds now) const;
-    /** The same for an attempt that is only of use in time. */
+    /** The same for an attempt that is useless when it is late, such as a hedge. */
     static double longestWorkInTime(const RequestSearch& search, Milliseconds now);
 
 private:
-    /** True when its answer will come; false when the budget does not allow the question. */
+    /** Probes a server, or awaits the probe in flight to it; false when the budget does not allow a probe. */
     bool askOne(const std::shared_ptr<BackendServerState>& server, RequestSearch& search,
         const ServiceDescription& service, Milliseconds now, std::vector<Probe>& questions) const;
     bool isGoodEnough(const BackendServerState& server, const RequestSearch& search, Milliseconds now) const;
--- a/Source/Routing/AttemptResult.h
+++ b/Source/Routing/AttemptResult.h
@@ -10,44 +10,44 @@
 
 using AttemptNumber = std::uint64_t;
 
-/** How sending a request to a backend server ended. */
+/** Outcome of sending a request to a backend server. */
 enum class AttemptResult {
-    Answered, // whole answer
-    ErrorAnswer, // whole answer that says the backend server failed
+    Answered, // complete answer
+    ErrorAnswer, // complete answer with a status that reports a failure of the backend server
     NotSent, // no byte of the request can have reached the backend server
-    RefusedNotRun, // the backend server said that it did not run the request
-    OtherServer, // another backend server has the address now; it did not run the request
-    Broken, // the connection ended before a whole answer, or what came is no answer
-    TimedOut, // no whole answer in time
-    Cancelled // given up by this instance
+    RefusedNotRun, // the backend server declared that it did not run the request
+    OtherServer, // another backend server now has this address; it did not run the request
+    Broken, // the connection closed before the answer was complete, or the answer is invalid
+    TimedOut, // no complete answer before the deadline
+    Cancelled // abandoned by this instance
 };
 
 inline constexpr std::size_t AttemptResultCount = 8;
 
-/** True when it is proved that the backend server did not run the request. */
+/** True when the result proves that the backend server did not run the request. */
 constexpr bool isProvedNotRun(AttemptResult result)
 {
     return result == AttemptResult::NotSent || result == AttemptResult::RefusedNotRun
         || result == AttemptResult::OtherServer;
 }
 
-/** A name as it stands in log lines, such as "refused_not_run". */
+/** The name used in log lines, such as "refused_not_run". */
 std::string_view nameOf(AttemptResult result);
 
-/** What a backend server said of its load. */
+/** The load that a backend server reported. */
 struct LoadFigures {
-    std::uint32_t running = 0;
-    std::uint32_t waiting = 0;
-    std::uint32_t slots = 0; // 0: not told
-    std::uint32_t workPercent = 100; // how long work takes there at this moment; 100: as usual
+    std::uint32_t running = 0; // requests
+    std::uint32_t waiting = 0; // requests
+    std::uint32_t slots = 0; // requests that it runs at once; 0: not reported
+    std::uint32_t workPercent = 100; // current duration of work, in percent of the usual duration
 };
 
-/** The end of an attempt, with what the answer told on the side. */
+/** The outcome of an attempt, with what the headers of the answer reported. */
 struct AttemptEnd {
     AttemptResult result = AttemptResult::Broken;
     std::optional<LoadFigures> load;
-    int status = 0; // of the answer; 0: there was none
-    bool isPromise = false; // the status says "not run" although the answer proves nothing
+    int status = 0; // HTTP status of the answer; 0: no answer
+    bool isPromise = false; // the status implies "not run", but the answer does not prove it
 };
 
 }
--- a/Source/Routing/BackendServerState.cpp
+++ b/Source/Routing/BackendServerState.cpp
@@ -7,24 +7,27 @@
 
 namespace {
 
-/** How long a backend server rests after a refusal; doubled with each in a row. */
+/** A backend server gets no requests for this long after a refusal; doubled with each consecutive refusal. */
 constexpr Milliseconds FirstRest{ 10 };
 constexpr unsigned MostDoublings = 5;
 constexpr double SampleShare = 0.15;
-/** What was learned of a server that nobody asks any more fades in about this time. */
+/** Time constant with which estimates decay while no new samples arrive. */
 constexpr Milliseconds Forgiven{ 3000 };
 constexpr double HighestSlowness = 20;
-/** Younger figures describe what an attempt met. */
+/** A load report of at most this age describes the load that an attempt meets at the server. */
 constexpr Milliseconds FreshFigures{ 30 };
-/** A request sent longer ago has reached the server, and its answer has not left it long ago. */
+/**
+ * A request that was sent longer ago than this has reached the server. If it were answered, the answer would have
+ * arrived by now, or nearly so.
+ */
 constexpr Milliseconds OnTheWay{ 25 };
-/** How long the figures of a server count for nothing after a contradiction. */
+/** Load reports of a server are ignored for this long after one that contradicts the requests in flight. */
 constexpr Milliseconds Distrust{ 1000 };
 constexpr double UsualPercent = 100;
-/** Work that takes up to so many percent of the usual time is not slow. */
+/** Work that takes up to this percentage of the usual time is not slow. */
 constexpr std::uint32_t WellPercent = 125;
 
-/** What the server said of the slowness of the moment. */
+/** How many times longer than usual work takes, as the server reported it with this answer. */
 double toldFactor(const AttemptEnd& end)
 {
     return end.load ? std::max(1.0, end.load->workPercent / UsualPercent) : 1;
@@ -44,7 +47,8 @@
 
 void BackendServerState::configure(const BackendServerRecord& record, Milliseconds now)
 {
-    // A record that says nothing new of it does not end a cold time that is known otherwise.
+    // A record without a cold time ends only a cold time that came from an earlier record, not one that the server
+    // reported itself.
     const bool isToldWarm = this->description.coldRemaining.count > 0;
     this->description = record;
     if (record.coldRemaining.count > 0)
@@ -112,7 +116,7 @@
         this->failed(now);
         break;
     case AttemptResult::NotSent:
-        // During a pause, or when a limit had just been named, it was held back from here.
+        // During a pause, or right after the server reported a limit, this instance itself held the request back.
         if (!this->isPaused(now) && (flight.permit || !this->sendPermits.isLimited()))
             this->failed(now);
         break;
@@ -130,7 +134,7 @@
 {
     if (expected.count <= 0)
         return;
-    // What the server says of the moment is not a property of its own.
+    // The slowdown that the server reports is temporary and is accounted for separately.
     const double sample = (now - flight.sentAt) / expected / flight.crowd / toldFactor(end);
     const double before = this->slowness(now);
     this->slownessEstimate = std::min(HighestSlowness, before + (sample - before) * SampleShare);
@@ -162,7 +166,7 @@
 
 void BackendServerState::answeredAfterPause(const Flight& flight)
 {
-    // What was sent before the pause says nothing of the time after it.
+    // Answers to requests sent before the end of the pause do not show how the server copes after it.
     if (!this->allowedAfterPause || flight.sentAt < this->pauseEnd)
         return;
     this->allowedAfterPause *= 2;
@@ -187,8 +191,7 @@
 
 void BackendServerState::refused(Milliseconds now)
 {
-    // A full backend server is healthy, but its quick refusals may not draw all
-    // requests to it.
+    // A full backend server is healthy, but its quick refusals must not attract all requests.
     const double doubling = std::exp2(static_cast<double>(std::min(this->refusals++, MostDoublings)));
     this->restingUntil = now + FirstRest * doubling;
 }
@@ -196,8 +199,7 @@
 void BackendServerState::reported(const LoadFigures& figures, Milliseconds now)
 {
     const double total = static_cast<double>(figures.running) + figures.waiting;
-    // A server that knows of fewer requests than are there from here alone
-    // reports something else than its load.
+    // A server that reports fewer requests than this instance alone has in flight there does not report its real load.
     const auto isThere = [now](const Flight& flight) { return now - flight.sentAt > OnTheWay; };
     if (static_cast<double>(std::count_if(this->flights.begin(), this->flights.end(), isThere)) > total)
         this->distrustedUntil = now + Distrust;
--- a/Source/Routing/BackendServerState.h
+++ b/Source/Routing/BackendServerState.h
@@ -13,47 +13,47 @@
 
 namespace burlreach {
 
-/** A load report with the time at which it was heard. */
+/** A load report and the time at which it was received. */
 struct LoadReport {
     LoadFigures figures;
-    double others = 0; // requests of other instances at that time
+    double others = 0; // requests of other instances at the server at that time
     Milliseconds at = LongAgo;
 };
 
-/** What an ended attempt tells of its service. */
+/** What a finished attempt contributes to the slowdown estimate of its service. */
 struct EndedFlight {
-    double time = 0; // in expected times, apart from the slowness that the server told; 0: not known
-    double use = 0; // of the server's slots when it was sent; 0: not known
+    double time = 0; // duration / expected duration / slowdown that the server reported; 0: not known
+    double use = 0; // share of the server's slots in use when the request was sent; 0: not known
 };
 
-/** What this instance knows of one life of a backend server. */
+/** What this instance knows about one life of a backend server. */
 class BackendServerState {
 public:
     BackendServerState(const BackendServerRecord& record, Milliseconds now);
 
-    /** Takes over a changed record of the same life. */
+    /** Applies a changed record of the same life. */
     void configure(const BackendServerRecord& record, Milliseconds now);
-    /** Connections, and so requests in flight, that this instance may have there. */
+    /** Maximum of connections, and so of requests in flight, from this instance to the server. */
     void setConnectionShare(std::size_t share) { this->connectionShare = share; }
 
     void sent(AttemptNumber attempt, Milliseconds now);
     /**
-     * Ends an attempt and learns from it. The expected time is that of such a
-     * request at a usual server; zero when it is not known.
+     * Ends an attempt and updates the estimates from its outcome. `expected` is the time that such a request takes
+     * at an average server; zero when it is not known.
      */
     EndedFlight ended(AttemptNumber attempt, const AttemptEnd& end, Milliseconds expected, Milliseconds now);
     void reported(const LoadFigures& figures, Milliseconds now);
-    /** A probe found nobody at the address, or heard nothing. */
+    /** A probe could not connect, or was not answered. */
     void probeFailed();
-    /** It said itself that it is leaving: this life gets nothing new any more. */
+    /** The server announced that it is shutting down: this life gets no new requests. */
     void setLeaving() { this->leaving = true; }
-    /** It asked this instance to send nothing until then; a later end that it asked for before holds on. */
+    /** The server asked this instance to send nothing until then. An earlier request for a longer pause stays valid. */
     void pauseUntil(Milliseconds until);
-    /** It said itself for how long it is cold; zero: it is not. */
+    /** The server reported for how long it is still cold; zero: it is warm. */
     void coldFor(Milliseconds remaining, Milliseconds now) { this->coldUntil = now + remaining; }
-    /** Its data centre is emptied, or was taken back into use. */
+    /** Its data centre was emptied, or was taken back into use. */
     void setEmptied(bool isEmptied) { this->emptied = isEmptied; }
-    /** Another backend server has the address: this life is over. */
+    /** Another backend server now has the address: this life is over. */
     void markReplaced() { this->replaced = true; }
     void eject(Milliseconds until);
 
@@ -63,46 +63,48 @@
     std::size_t inFlight() const { return this->flights.size(); }
     bool hasConnectionLeft() const { return this->flights.size() < this->connectionShare; }
 
-    /** By its own word or its record. */
+    /** True when the server announced its shutdown or its record says that it is draining. */
     bool isLeaving() const { return this->leaving || this->description.draining; }
     /** False for draining, leaving and replaced backend servers, and in an emptied data centre. */
     bool takesNewRequests() const;
     bool isEmptied() const { return this->emptied; }
-    /** After a refusal it rests for a moment. */
+    /** True for a short time after a refusal, in which the server gets no requests. */
     bool isResting(Milliseconds now) const { return now < this->restingUntil; }
-    /** It has asked for nothing to be sent: no request, hedge or probe. */
+    /** The server asked this instance to send nothing for now: no request, hedge or probe. */
     bool isPaused(Milliseconds now) const { return now < this->pauseEnd; }
     Milliseconds pausedUntil() const { return this->pauseEnd; }
-    /** False while it is coming back after a pause and has as many requests from here as that allows. */
+    /**
+     * False while the server is ramping up after a pause and has all the requests that this allows from this instance.
+     */
     bool mayTakeAfterPause() const { return !this->allowedAfterPause || this->inFlight() < this->allowedAfterPause; }
-    /** What it may be sent from here as long as it names a limit. */
+    /** Permits for the requests of this instance while the server has a limit. */
     SendPermits& permits() { return this->sendPermits; }
     const SendPermits& permits() const { return this->sendPermits; }
     bool isEjected(Milliseconds now) const { return now < this->ejectedUntil; }
-    /** Ejected before and not proved well since: one request at a time. */
+    /** Ejected before and without a successful answer since: gets one request at a time. */
     bool isOnTrial() const { return this->ejectionCount > 0; }
     bool isCold(Milliseconds now) const { return now < this->coldUntil; }
     unsigned failuresInARow() const { return this->failures; }
     unsigned ejections() const { return this->ejectionCount; }
     double failureShare(Milliseconds now) const;
 
-    /** It said just now that it has free slots, nothing to do and is not slow. */
+    /** A fresh report shows no requests at the server and no slowdown. */
     bool saidItIsWell(Milliseconds now) const;
     const LoadReport& report() const { return this->lastReport; }
-    /** False while a report contradicted what had been sent from here. */
+    /** False for some time after a report that contradicted the requests in flight from this instance. */
     bool reportIsTrusted(Milliseconds now) const { return now >= this->distrustedUntil; }
-    /** How many times longer than usual requests took here, apart from the reported percentage. */
+    /** How many times longer than usual requests took at this server, without the slowdown that it reported itself. */
     double slowness(Milliseconds now) const;
-    /** How long the oldest request has been in flight; zero with none. */
+    /** Age of the oldest request in flight; zero with none. */
     Milliseconds oldestAge(Milliseconds now) const;
 
 private:
     struct Flight {
         AttemptNumber attempt = 0;
         Milliseconds sentAt;
-        double crowd = 1; // requests for each slot when it was sent, at least 1
-        double use = 0; // as fresh figures told it; 0: there were none
-        std::optional<SendPermit> permit; // that it used
+        double crowd = 1; // requests per slot at the server when this one was sent, at least 1
+        double use = 0; // share of the slots in use, from a fresh report; 0: there was none
+        std::optional<SendPermit> permit; // the permit that it used, if any
     };
 
     void learn(const AttemptEnd& end, const Flight& flight, Milliseconds expected, Milliseconds now);
@@ -127,11 +129,11 @@
     Milliseconds slownessAt = LongAgo;
     double failureEstimate = 0;
     Milliseconds failureAt = LongAgo;
-    unsigned refusals = 0; // in a row
+    unsigned refusals = 0; // consecutive
     Milliseconds restingUntil = LongAgo;
     Milliseconds pauseEnd = LongAgo;
-    std::size_t allowedAfterPause = 0; // requests from here at once; 0: no limit of this kind
-    unsigned failures = 0; // in a row
+    std::size_t allowedAfterPause = 0; // concurrent requests from this instance after a pause; 0: not limited
+    unsigned failures = 0; // consecutive
     unsigned ejectionCount = 0;
     Milliseconds ejectedUntil = LongAgo;
 };
--- a/Source/Routing/ColdStartShare.cpp
+++ b/Source/Routing/ColdStartShare.cpp
@@ -7,14 +7,13 @@
 namespace {
 
 /**
- * Longer than a second by what requests may differ in their way to the server:
- * so within any second no instance spends what two windows dealt. The requests
- * of a second are then a sum of independent draws with the mean that the server
- * bears; more than eight beyond one and a half times of 2.5 come once in some
- * sixty thousand windows in which every instance uses what it was dealt (worked out).
+ * Longer than a second by the amount by which the latency of requests to the server may vary, so that no instance
+ * uses the budgets of two windows within one second. The requests of any second are then a sum of independent random
+ * draws whose mean is the rate that the server can take. At 2.5 requests a second the sum exceeds 1.5 times the rate
+ * by more than eight requests about once in 60,000 windows in which every instance uses its whole budget.
  */
 constexpr Milliseconds Window{ 1250 };
-/** As if there were at least so many, so that few instances do not take whole requests each at once. */
+/** Smallest fleet size to assume, so that in a small fleet each instance does not get several requests at once. */
 constexpr std::size_t FewestInstances = 2;
 
 }
--- a/Source/Routing/CrowdingEstimate.cpp
+++ b/Source/Routing/CrowdingEstimate.cpp
@@ -9,23 +9,22 @@
 
 constexpr double FreeUse = 0.7;
 constexpr double FullUse = 0.85;
-/** Beyond this the request waited there first. */
+/** Above this the request had to wait for a slot, so its time is not that of a full server. */
 constexpr double MostUse = 1.01;
 constexpr std::size_t EnoughSamples = 8;
 constexpr double SampleShare = 0.06;
-/** Single requests differ; one that took this long says as much as a longer one. */
+/** Samples are capped at this value, so that single slow requests do not dominate the mean. */
 constexpr double LongestTime = 6;
 /**
- * How much more a full server must answer, as a share of what it answers with
- * its last slots free, were these next to nothing. The fewer slots it has, the
- * more of them would stay free and the less must the last one bring: 0.15 with
- * two slots, 0.2 with three or six, 0.23 with 32. With two slots, where crowded
- * work takes 1.7 times as long, leaving one free costs more than it saves: of
- * what callers bring on a day with rushes and lost servers 0.72 was earned with
- * one slot left free and 0.75 without (95 instances, 257 servers).
+ * The last slots are used when they raise the throughput of a server by at least this share, times the share of the
+ * slots that are in use without them. The fewer slots a server has, the larger the part that would stay free, and the
+ * smaller the gain that is required: 0.15 with two slots, 0.2 with three or six, 0.23 with 32. With two slots, where
+ * work at a full server takes 1.7 times as long, leaving one free costs more than it saves: on a day with load peaks
+ * and lost servers, 0.72 of the total value of the requests was earned with one slot left free and 0.75 without (95
+ * instances, 257 servers).
  */
 constexpr double WorthTheDelay = 0.3;
-/** Beyond this use servers may be slower. */
+/** Above this share of slots in use, servers may be slower. */
 constexpr double NearlyFull = 0.8;
 
 }
@@ -55,8 +54,7 @@
 double CrowdingEstimate::usefulSlots(double slots) const
 {
     const double fewer = std::max(1.0, std::floor(slots * NearlyFull));
-    // With all slots taken it answers slots / slowdown requests in the time of one,
-    // and each of them later.
+    // A full server answers slots / slowdown requests in the time of one request, and each of them takes longer.
     const double leastGain = 1 + WorthTheDelay * fewer / slots;
     return slots / this->slowdown() < fewer * leastGain ? fewer : slots;
 }
--- a/Source/Routing/CrowdingEstimate.h
+++ b/Source/Routing/CrowdingEstimate.h
@@ -5,25 +5,23 @@
 namespace burlreach {
 
 /**
- * Learns how much longer requests take at a nearly full backend server of a
- * service than at one with free slots. Some services slow down so much when
- * their last slots are used that they answer fewer requests than before.
+ * Estimates how much longer requests of a service take at a nearly full backend server than at one with free slots.
+ * Some services slow down so much when their last slots are used that their throughput falls.
  */
 class CrowdingEstimate {
 public:
     /**
-     * The time is in expected times of the request; the use is how much of the
-     * slots was taken with it, 1 when all are.
+     * `time` is in units of the expected time of the request, `use` the share of slots in use, this request included.
      */
     void add(double time, double use);
 
-    /** How many times longer; 1 until enough was seen. */
+    /** How many times longer requests take at a full server; 1 until there are enough samples. */
     double slowdown() const;
-    /** Requests that a server with so many slots should be given at once. */
+    /** Concurrent requests that a server with this many slots should get. */
     double usefulSlots(double slots) const;
 
 private:
-    /** A mean that forgets. */
+    /** A moving average in which older samples lose weight. */
     struct Mean {
         double value = 0;
         std::size_t samples = 0;
--- a/Source/Routing/LeastInFlightPolicy.h
+++ b/Source/Routing/LeastInFlightPolicy.h
@@ -4,7 +4,7 @@
 
 namespace burlreach {
 
-/** Baseline: the candidate with the fewest own requests in flight. */
+/** Baseline policy: chooses the candidate with the fewest requests in flight from this instance. */
 class LeastInFlightPolicy final : public RoutingPolicy {
 public:
     BackendServerState* choose(
--- a/Source/Routing/LoadAwarePolicy.cpp
+++ b/Source/Routing/LoadAwarePolicy.cpp
@@ -7,33 +7,32 @@
 
 namespace {
 
-/** Reports older than this say little about the load of the moment. */
+/** Time constant with which a report loses weight against the mean of the pool. */
 constexpr Milliseconds ReportDecay{ 100 };
 constexpr double UsualPercent = 100;
 /**
- * What is assumed of servers that were not heard, as if this many had told that
- * work takes this many times as long: the mean where a quarter of them is five
- * times slower by its neighbours. Else the few that were asked first would say
- * for all others that they are well, and of many unknown ones one always looks
- * a little better than the few that are known. Of the requests of an instance's
- * first second 0.54 went to servers that it had never heard, 0.27 of the next
- * one's; there a tenth took 1,172 ms and more, at servers with fresh figures
- * 474 ms (473 instances, logs of the first seconds of a calm day).
+ * Prior for servers without a report: the pool's mean is formed as if this many further servers had reported that
+ * work takes this many times as long as usual. That is the mean where noisy neighbours slow down a quarter of the
+ * servers five times. Without the prior, good reports from the first few servers would be assumed for all others, and
+ * among many unknown servers one always scores a little better than the few known ones. Then 0.54 of the requests in
+ * the first second of an instance, and 0.27 in the next, went to servers without any report; the slowest tenth took at
+ * least 1,172 ms there, but 474 ms at servers with fresh reports (473 instances, first seconds of a calm day).
  */
 constexpr double AssumedServers = 2;
 constexpr double AssumedWorkFactor = 2;
-/** A random share of the score, so that instances do not all choose alike. */
+/** Scores are raised at random by up to this share, so that instances do not all choose the same server. */
 constexpr double Jitter = 0.08;
-/** Service times differ by the mix of requests; only more than this is a slow server. */
+/** Service times vary with the mix of requests; a server is slow only above this factor. */
 constexpr double UsualSlowness = 1.6;
-/** A request in flight for more than this many expected times tells of a slow-down. */
+/** A request in flight for more than this many expected times indicates a slowdown. */
 constexpr double UsualAge = 4;
-/** Another data centre counts as this share of a usual request. */
+/** Added to the score of a server in another data centre, in times of a usual request. */
 constexpr double DistanceShare = 0.5;
-/** A server that has just started, and one that fails a request now and then. */
+/** A server that has just started is slower by this factor. */
 constexpr double ColdFactor = 1.7;
+/** Weight of the share of failed requests. */
 constexpr double FailureWeight = 4;
-/** Nearly full servers work more slowly. */
+/** Servers with more than this share of their slots in use are slower. */
 constexpr double NearlyFull = 0.8;
 constexpr double NearlyFullFactor = 1.3;
 
@@ -83,7 +82,7 @@
 {
     const ExpectedLoad load = expectedLoadOf(server, pool, context.now);
     const double slow = std::max(1.0, server.slowness(context.now) / UsualSlowness);
-    // Own requests that hang tell of a slow-down before any answer does.
+    // Requests that have been in flight for long indicate a slowdown before any answer does.
     const double hanging
         = context.expected.count > 0 ? std::max(1.0, server.oldestAge(context.now) / context.expected / UsualAge) : 1;
     const double cold = server.isCold(context.now) ? ColdFactor : 1;
@@ -99,7 +98,7 @@
     const PoolLoad pool = poolLoadOf(candidates);
     BackendServerState* best = nullptr;
     double bestScore = 0;
-    // All of them, however many: the few with fresh figures must be among them.
+    // Scores all candidates instead of a sample, which could miss the few with fresh reports.
     for (BackendServerState* candidate : candidates) {
         const double candidateScore = score(*candidate, pool, context) * (1 + Jitter * random.unit());
         if (best && candidateScore >= bestScore)
--- a/Source/Routing/NoticeBook.h
+++ b/Source/Routing/NoticeBook.h
@@ -11,29 +11,30 @@
 namespace burlreach {
 
 /**
- * What backend servers said of themselves, by id and life.
+ * Notices that backend servers sent about themselves, by id and life.
  *
- * It stands apart from the records of the store: what was said holds on while a
- * record is gone and comes back, is moved or is read again in an older form,
- * and while the store says nothing. Only a later life of the server ends it.
+ * They are kept independently of the records in the store: a notice stays valid while a record disappears and
+ * returns, moves or is read in an older version, and while the store is unreachable. Only a later life of the server
+ * ends it.
  */
 class NoticeBook {
 public:
     struct Options {
         /**
-         * Of lives, the oldest is forgotten first: all servers of a fleet of 700 replaced eleven times. About 1 MB.
+         * Maximum number of entries; the one without a notice for the longest time is dropped first. Enough for a fleet
+         * of 700 servers that are all replaced eleven times. About 1 MB.
          */
         std::size_t mostLives = 8192;
     };
 
     explicit NoticeBook(Options options);
 
-    /** True when it is news that this life is leaving. */
+    /** Records that this life is shutting down; true when it was not known. */
     bool heardLeaving(const std::string& backendServer, std::uint64_t life, Milliseconds at);
     bool isLeaving(std::string_view backendServer, std::uint64_t life) const;
-    /** True when this life asked for a later end than before. */
+    /** Records that this life asked for a pause; true when it ends later than the one known so far. */
     bool heardPause(const std::string& backendServer, std::uint64_t life, Milliseconds until, Milliseconds at);
-    /** Long ago when this life asked for no pause. */
+    /** End of the pause that this life asked for; LongAgo without one. */
     Milliseconds pausedUntil(std::string_view backendServer, std::uint64_t life) const;
 
 private:
@@ -44,7 +45,7 @@
         Milliseconds heardAt;
     };
 
-    /** Null when a later life was heard: the one that said it has ended. */
+    /** Adds or updates the entry; null when a later life is known, so that the notice is obsolete. */
     Entry* entryOf(const std::string& backendServer, std::uint64_t life, Milliseconds now);
     const Entry* find(std::string_view backendServer, std::uint64_t life) const;
     void forgetOldest();
--- a/Source/Routing/OutlierDetector.cpp
+++ b/Source/Routing/OutlierDetector.cpp
@@ -19,7 +19,7 @@
 bool OutlierDetector::check(
     BackendServerState& server, std::span<const std::shared_ptr<BackendServerState>> pool, Milliseconds now) const
 {
-    // On trial one failure is enough.
+    // For a server on trial one failure is enough.
     const unsigned allowed = server.isOnTrial() ? 1 : this->options.failuresInARow;
     const bool failsOften = server.failureShare(now) >= this->options.failureShare;
     if ((server.failuresInARow() < allowed && !failsOften) || server.isEjected(now))
--- a/Source/Routing/OutlierDetector.h
+++ b/Source/Routing/OutlierDetector.h
@@ -9,23 +9,20 @@
 
 namespace burlreach {
 
-/**
- * Takes backend servers that fail again and again out of the choice for a
- * while. At most half of the pool is out at a time.
- */
+/** Ejects backend servers that fail repeatedly for some time, but never more than half of a pool at once. */
 class OutlierDetector {
 public:
     struct Options {
         unsigned failuresInARow = 3;
-        double failureShare = 0.45;
+        double failureShare = 0.45; // of the recent requests
         Milliseconds firstEjection{ 500 };
         Milliseconds longestEjection{ 10000 };
-        double largestShare = 0.5;
+        double largestShare = 0.5; // of the pool that may be ejected
     };
 
     explicit OutlierDetector(Options options);
 
-    /** True when the backend server, which just failed, was ejected. */
+    /** Ejects the backend server, which has just failed, if it failed too often; true when it was ejected. */
     bool check(
         BackendServerState& server, std::span<const std::shared_ptr<BackendServerState>> pool, Milliseconds now) const;
 
--- a/Source/Routing/RandomPolicy.h
+++ b/Source/Routing/RandomPolicy.h
@@ -4,7 +4,7 @@
 
 namespace burlreach {
 
-/** Baseline: any candidate with the same chance. */
+/** Baseline policy: chooses each candidate with the same probability. */
 class RandomPolicy final : public RoutingPolicy {
 public:
     BackendServerState* choose(
--- a/Source/Routing/RoundRobinPolicy.h
+++ b/Source/Routing/RoundRobinPolicy.h
@@ -4,7 +4,7 @@
 
 namespace burlreach {
 
-/** Baseline: the candidates in turn. */
+/** Baseline policy: chooses the candidates in turn. */
 class RoundRobinPolicy final : public RoutingPolicy {
 public:
     BackendServerState* choose(
--- a/Source/Routing/RouteTable.h
+++ b/Source/Routing/RouteTable.h
@@ -11,15 +11,15 @@
 namespace burlreach {
 
 /**
- * Finds the route of a request: among those of its host and method the one
- * with the longest path prefix; a named method goes before one for all.
+ * Finds the route of a request: among the routes of its host and method, the one with the longest path prefix. Of equal
+ * prefixes, a route for one method takes precedence over a route for all methods.
  */
 class RouteTable {
 public:
     RouteTable() = default;
     explicit RouteTable(const RoutingConfiguration& configuration);
 
-    /** Null when no route leads anywhere. The path may carry a query. */
+    /** Null when no route matches. The path may include a query. */
     std::shared_ptr<const Route> find(std::string_view host, std::string_view method, std::string_view path) const;
     std::size_t size() const { return this->count; }
 
--- a/Source/Routing/RoutingPolicy.h
+++ b/Source/Routing/RoutingPolicy.h
@@ -9,19 +9,19 @@
 
 namespace burlreach {
 
-/** Where, when and for what a choice is made. */
+/** The circumstances of a choice. */
 struct RoutingContext {
     Milliseconds now;
     std::string_view dataCentre; // of the choosing instance
-    Milliseconds expected; // time of such a request at a usual server; zero: not known
-    bool wantsTarget = false; // of a version that is tried
+    Milliseconds expected; // duration of such a request at an average server; zero: not known
+    bool wantsTarget = false; // the request is meant for the target version of a rollout
 };
 
-/** Chooses the backend server for a request among those that may take it. */
+/** Chooses one of the backend servers that may take a request. */
 class RoutingPolicy {
 public:
     virtual ~RoutingPolicy() = default;
-    /** The candidates are never empty. */
+    /** There is at least one candidate. */
     virtual BackendServerState* choose(
         std::span<BackendServerState* const> candidates, const RoutingContext& context, Random& random)
         = 0;
--- a/Source/Routing/SendPermits.cpp
+++ b/Source/Routing/SendPermits.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** At half a request a second the server is heard about so often. */
+/** Interval between the reports of a server that takes half a request a second. */
 constexpr Milliseconds WordKeptFresh{ 2000 };
 
 }
--- a/Source/Routing/SendPermits.h
+++ b/Source/Routing/SendPermits.h
@@ -8,50 +8,49 @@
 
 namespace burlreach {
 
-/** Lets one request through to a backend server that has named a limit. */
+/** Permission to send one request to a backend server with a limit, within a period. */
 struct SendPermit {
     Milliseconds from;
     Milliseconds until;
 };
 
 /**
- * What this instance may send to one life of a backend server.
+ * The permits of this instance for one life of a backend server.
  *
- * As long as the server names no limit it may be sent anything. Else each
- * request needs a permit, which is asked for with a number and comes with the
- * answer.
+ * A server without a limit needs no permits. With one, each request uses up a permit. This instance requests permits
+ * from the instance that grants them; a numbered request is answered with a permit or a denial.
  */
 class SendPermits {
 public:
-    /** The server named a limit, or said again that it has one. */
+    /** The server reported a limit at this time, for the first time or again. */
     void limit(Milliseconds wordAt);
-    /** The server names no limit any more. */
+    /** The server no longer has a limit. */
     void lift();
     bool isLimited() const { return this->limited; }
-    /** Nobody has heard from the server for so long that its word may be out of date. */
+    /** No instance has had a report from the server for so long that the limit may be out of date. */
     bool isWordOld(Milliseconds now) const;
 
-    /** A request may be sent now. */
+    /** True when a request may be sent now. */
     bool allows(Milliseconds now) const;
-    /** A request is sent; gives the permit that it uses, if it needs one. */
+    /** Called for each request that is sent; returns the permit that it uses up, if it needs one. */
     std::optional<SendPermit> take(Milliseconds now);
-    /** A permit came, or was not used. */
+    /** Adds a permit that was granted, or that was taken but not used. */
     void give(const SendPermit& permit);
 
-    /** A permit is here, or asked for. */
+    /** True when there is a permit, or one has been requested and the answer is not overdue. */
     bool isExpected(Milliseconds now) const;
-    /** True when a permit may be asked for: none is expected, and none was denied just before. */
+    /** True when a permit may be requested: none is available or requested, and no recent denial forbids it. */
     bool mayAsk(Milliseconds now) const;
-    /** A permit is asked for; without an answer by then another one may be. */
+    /** A permit was requested under this number; without an answer by `answerDue` another one may be requested. */
     void asked(std::uint64_t number, Milliseconds answerDue);
     bool isAwaited(std::uint64_t number) const { return this->ask && this->ask == number; }
-    /** One was asked for, and no answer came in time. */
+    /** A permit was requested, and no answer came in time. */
     bool isUnanswered(Milliseconds now) const { return this->ask && now >= this->answerDue; }
-    /** The answer came, or is not awaited any more. */
+    /** The answer arrived, or is no longer awaited. */
     void answered() { this->ask = 0; }
-    /** There is no permit before this time. */
+    /** The request was denied: no permit may be requested before this time. */
     void denied(Milliseconds until);
-    /** When there may be a permit, as far as it is known here. */
+    /** Earliest time at which a permit may be available, as far as this instance knows. */
     Milliseconds nextChance(Milliseconds now) const;
 
 private:
@@ -60,7 +59,7 @@
     bool limited = false;
     Milliseconds wordAt = LongAgo;
     std::vector<SendPermit> permits;
-    std::uint64_t ask = 0; // 0: none is under way
+    std::uint64_t ask = 0; // number of the pending request; 0: none
     Milliseconds answerDue = LongAgo;
     Milliseconds deniedUntil = LongAgo;
 };
--- a/Source/Routing/ServerNotice.h
+++ b/Source/Routing/ServerNotice.h
@@ -6,12 +6,12 @@
 
 namespace burlreach {
 
-/** What a backend server says of itself in the header of an answer, whatever the answer is to. */
+/** What a backend server reports about itself in the headers of any answer. */
 struct ServerNotice {
-    bool isLeaving = false; // it will end and wants nothing new, from nobody
-    Milliseconds pause; // it wants nothing from this instance for so long; zero: it asked for none
+    bool isLeaving = false; // it is shutting down and takes no new requests from any instance
+    Milliseconds pause; // it asks this instance to send nothing for this long; zero: no pause
 
-    std::optional<double> limit; // requests a second that it takes from all instances together; nothing: it names none
+    std::optional<double> limit; // requests a second from all instances together; nullopt: no limit
 
     bool isEmpty() const { return !this->isLeaving && this->pause.count <= 0 && !this->limit; }
 };
--- a/Source/Routing/ServicePool.cpp
+++ b/Source/Routing/ServicePool.cpp
@@ -9,17 +9,19 @@
 
 namespace {
 
-/** Where all are full, but no server was heard for so long and none has anything from here, one request tries. */
+/**
+ * When all servers are full according to their reports, but none has reported for this long and none has a request
+ * from this instance, one request is sent all the same: nothing else would show that there is room again.
+ */
 constexpr Milliseconds SilentPool{ 300 };
 /**
- * So long a server that said it is slow is taken at its word: a little less than
- * noisy neighbours keep it so, which is some 150 ms. Of what callers bring on a
- * day with rushes and an emptied data centre 0.69 was earned with 60 ms, more
- * with 90 and 120, less again with 160 (95 instances, 257 servers).
+ * A server that reported that it is slow is assumed to stay slow for this long: a little less than a slowdown by noisy
+ * neighbours lasts, which is about 150 ms. On a day with load peaks and an emptied data centre, 0.69 of the total value
+ * of the requests was earned with 60 ms, more with 90 and 120, and less again with 160 (95 instances, 257 servers).
  */
 constexpr Milliseconds SlowToldFor{ 120 };
 constexpr double UsualPercent = 100;
-/** Older figures say little of the requests of the moment. */
+/** Maximum age of a report for a server to count as recently reported. */
 constexpr Milliseconds HeardLately{ 100 };
 
 bool isHeardLately(const BackendServerState& server, Milliseconds now)
@@ -50,7 +52,7 @@
         known->configure(record, now);
         return known;
     }
-    // Attempts at the earlier life end there and teach nothing of this one.
+    // The new life starts with a state of its own: outcomes of attempts at the earlier life do not apply to it.
     if (known)
         this->remove(record.id);
     auto added = std::make_shared<BackendServerState>(record, now);
@@ -149,12 +151,12 @@
 std::vector<BackendServerState*> ServicePool::takers(const ChoiceWish& wish, const RoutingContext& context) const
 {
     auto found = this->filter({ .without = wish.tried, .wantsTarget = context.wantsTarget }, context.now);
-    // A version that is tried has few servers: the other one takes what they cannot.
+    // The target version of a rollout has few servers: the other version takes the requests that they cannot.
     if (found.empty() && context.wantsTarget)
         found = this->filter({ .without = wish.tried }, context.now);
     if (!found.empty() || wish.onlyUntried)
         return found;
-    // Rather a tried or an ejected backend server than none.
+    // A backend server that was tried before or is ejected is better than none.
     found = this->filter({}, context.now);
     if (found.empty())
         found = this->filter({ .withEjected = true }, context.now);
@@ -170,10 +172,10 @@
         return true;
     if (server.isResting(now) || (server.isOnTrial() && server.inFlight() > 0))
         return false;
-    // All that waited for its return would come at the same moment.
+    // Otherwise all waiting requests would be sent at once when its pause ends.
     if (!server.mayTakeAfterPause())
         return false;
-    // Requests wait here, where they can still go to another server.
+    // Requests above this wait in the queue of this instance, from which they can still go to another server.
     return requests < this->crowdingEstimate.usefulSlots(server.slots()) * wish.limitShare;
 }
 
@@ -202,7 +204,7 @@
         if (hasOthers)
             std::erase_if(candidates, [](const BackendServerState* server) { return server->isOnTrial(); });
     }
-    // Else all would wait here for room of which nobody comes to hear.
+    // Otherwise requests would wait for ever: without traffic no answer reports free slots.
     if (candidates.empty() && this->isSilent(context.now))
         candidates = takers;
     if (candidates.empty())
@@ -211,7 +213,7 @@
         [&](const BackendServerState* server) { return isToldSlow(*server, wish.longestWork, context.now); });
     if (candidates.empty())
         return { .server = nullptr, .reason = NoChoice::Slow };
-    // Only an answer tells whether the limit still holds, and nobody is asked for figures there.
+    // Only an answer to a request shows whether the limit still holds: servers with a limit are not probed.
     const auto old = std::find_if(candidates.begin(), candidates.end(),
         [&](const BackendServerState* server) { return server->permits().isWordOld(context.now); });
     if (old != candidates.end())
--- a/Source/Routing/ServicePool.h
+++ b/Source/Routing/ServicePool.h
@@ -20,91 +20,99 @@
 
 namespace burlreach {
 
-/** Why there was no backend server to choose. */
+/** Why no backend server could be chosen. */
 enum class NoChoice {
-    Full, // some take requests, but none has room now
-    Slow, // some have room, but said a moment ago that work takes too long there
-    Unheard, // others may have room, but were not heard lately
-    Paused, // all that would take a request have asked for a pause
-    Limited, // those that would take a request have named limits, and there is no permit for any
-    AllLeave, // each that is there is draining or leaving: none will take a request any more
-    NobodyTakes // none is there, or those that are have been replaced or emptied
+    Full, // some servers take requests, but none has a free slot now
+    Slow, // some have free slots, but reported just now that work takes too long there
+    Unheard, // some may have free slots, but have not reported their load recently
+    Paused, // all servers that take requests have asked for a pause
+    Limited, // the servers that take requests have limits, and there is no permit for any of them
+    AllLeave, // all servers are draining or shutting down: none will take another request
+    NobodyTakes // there are no servers, or they have been replaced or their data centre emptied
 };
 
-/** A chosen backend server, or why there is none. */
+/** The chosen backend server, or the reason why there is none. */
 struct Choice {
     std::shared_ptr<BackendServerState> server;
     NoChoice reason = NoChoice::NobodyTakes;
 };
 
-/** What a choice is for. */
+/** What the chosen server must satisfy. */
 struct ChoiceWish {
-    std::span<const std::shared_ptr<BackendServerState>> tried; // others are preferred
-    bool onlyUntried = false;
-    bool mayTry = true; // a backend server on trial may be given the request
-    double longestWork = std::numeric_limits<double>::infinity(); // times as long as usual, as servers told it just now
-    bool onlyHeard = false; // backend servers that told their load lately
-    double limitShare = 1; // of the requests that a server should be given at once; less: others go first
+    std::span<const std::shared_ptr<BackendServerState>> tried; // servers used before; others are preferred
+    bool onlyUntried = false; // excludes the tried ones altogether
+    bool mayTry = true; // a backend server on trial after an ejection may be chosen
+    // Excludes servers that reported just now that work takes more than this many times as long as usual.
+    double longestWork = std::numeric_limits<double>::infinity();
+    bool onlyHeard = false; // excludes servers without a recent load report, except those with a limit
+    double limitShare = 1; // share of a server's usable slots that may be filled; lower for requests of low priority
 };
 
-/** The backend servers of one service and the choice among them. */
+/** Holds the backend servers of one service and chooses among them. */
 class ServicePool {
 public:
     struct Options {
-        bool adaptive = true; // limits for each backend server, ejections
+        bool adaptive = true; // false: no limits per backend server and no ejections
     };
 
     ServicePool(std::unique_ptr<RoutingPolicy> policy, Options options);
 
-    /** Adds a life of a backend server, in place of an earlier one, or takes over its changed record. */
+    /**
+     * Applies a record: adds a new life of a backend server in place of an earlier one, or updates the present life.
+     */
     std::shared_ptr<BackendServerState> put(const BackendServerRecord& record, Milliseconds now);
-    /** Servers are there, and each is draining or leaving. */
+    /** True when there are servers and each is draining or shutting down. */
     bool areAllLeaving() const;
-    /** When the first of them may be sent something again, where all that take requests have asked for a pause; else
-     * now. */
+    /**
+     * When all servers that take requests have asked for a pause: the time at which the first pause ends. Otherwise
+     * `now`.
+     */
     Milliseconds pauseEnd(Milliseconds now) const;
-    /** Where each that takes requests has named a limit: when there may be a permit for one; else now. */
+    /**
+     * When all servers that take requests and are not paused have a limit: the earliest time at which a permit may be
+     * available for one of them. Otherwise `now`.
+     */
     Milliseconds nextPermit(Milliseconds now) const;
-    /** True when it was there. */
+    /** True when the server was in the pool. */
     bool remove(std::string_view id);
     void setConnectionShare(std::size_t share);
     void setVersionRule(VersionRule rule) { this->versions = std::move(rule); }
     const VersionRule& versionRule() const { return this->versions; }
     void setColdShare(const ColdStartShare::Options& share) { this->coldShare.configure(share); }
-    /** Some would take requests, but all these stand in emptied data centres. */
+    /** True when no server takes requests and at least one is in an emptied data centre. */
     bool isEmptied() const;
-    /** A request is sent to the server. */
+    /** Counts a request that is sent to the server. */
     void sent(const BackendServerState& server, Random& random, Milliseconds now)
     {
         this->coldShare.sent(server, random, now);
     }
 
     Choice choose(const ChoiceWish& wish, const RoutingContext& context, Random& random);
-    /** Those whose load is worth knowing before a choice, the best by what is known first. */
+    /** At most so many servers that are worth probing before a choice, in order of their score, best first. */
     std::vector<std::shared_ptr<BackendServerState>> worthKnowing(
         std::size_t most, const RoutingContext& context, Random& random) const;
-    /** An attempt at one of its backend servers has ended. */
+    /** Updates the slowdown estimate with an attempt that has ended at one of the backend servers. */
     void learn(const EndedFlight& flight);
     const CrowdingEstimate& crowding() const { return this->crowdingEstimate; }
-    /** Ejects the backend server when it has failed too often; true if so. */
+    /** Ejects the backend server if it has failed too often; true when it was ejected. */
     bool checkOutlier(BackendServerState& server, Milliseconds now);
 
     std::shared_ptr<BackendServerState> find(std::string_view id) const;
     std::span<const std::shared_ptr<BackendServerState>> servers() const { return this->list; }
-    /** Slots of all backend servers that take requests. */
+    /** Sum of the slots of all backend servers that take requests. */
     double slots() const;
 
 private:
-    /** Nothing is under way at any server, and none was heard lately. */
+    /** True when no request is in flight at any server and none has reported for some time. */
     bool isSilent(Milliseconds now) const;
     bool hasRoom(const BackendServerState& server, double requests, const ChoiceWish& wish, Milliseconds now) const;
     NoChoice whyNobody(Milliseconds now) const;
-    /** Which servers a filter leaves. */
+    /** Which servers are eligible. */
     struct Sieve {
         std::span<const std::shared_ptr<BackendServerState>> without;
         bool withEjected = false;
         bool wantsTarget = false;
-        bool withLimited = true; // those that have named a limit, if a request may be sent now
+        bool withLimited = true; // includes servers with a limit that have a permit now
     };
 
     std::vector<BackendServerState*> takers(const ChoiceWish& wish, const RoutingContext& context) const;
@@ -118,7 +126,7 @@
     VersionRule versions;
     std::size_t connectionShare = 16;
     std::vector<std::shared_ptr<BackendServerState>> list;
-    std::map<std::string, std::shared_ptr<BackendServerState>, std::less<>> byId; // the same
+    std::map<std::string, std::shared_ptr<BackendServerState>, std::less<>> byId; // the servers of `list`
 };
 
 }
--- a/Source/Routing/TwoChoicesPolicy.h
+++ b/Source/Routing/TwoChoicesPolicy.h
@@ -4,7 +4,7 @@
 
 namespace burlreach {
 
-/** Baseline: of two random candidates the one with fewer own requests in flight. */
+/** Baseline policy: of two random candidates, chooses the one with fewer requests in flight from this instance. */
 class TwoChoicesPolicy final : public RoutingPolicy {
 public:
     BackendServerState* choose(
--- a/Source/Routing/WeightedTurn.cpp
+++ b/Source/Routing/WeightedTurn.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Requests that a service may be sent beyond its share. */
+/** Number of requests by which a service may exceed its share. */
 constexpr double MostAhead = 1;
 constexpr double LongestPeriod = 10000;
 
@@ -22,8 +22,8 @@
         divisor = std::gcd(divisor, service.weight);
         this->parts.push_back({ .service = service });
     }
-    // The order repeats after so many requests. Begun anywhere in it, each request is each part's by its weight, also
-    // where an instance sees only one or two.
+    // The order repeats after this many requests. Starting at a random point of it makes the probability of each
+    // service match its weight even for an instance that sees only one or two requests.
     const double period = std::min(LongestPeriod, this->totalWeight / std::max(divisor, 1U));
     for (double turns = std::floor(start * period); turns >= 1; turns -= 1)
         this->takeTurn();
--- a/Source/Routing/WeightedTurn.h
+++ b/Source/Routing/WeightedTurn.h
@@ -10,34 +10,34 @@
 namespace burlreach {
 
 /**
- * Divides a route's requests among its services in proportion to the weights,
- * evenly in time: each service's count hardly strays from its share. Instances
- * begin at different points of the same order, so that the weights also hold
- * for a fleet whose instances see a request or two each.
+ * Smooth weighted round robin: splits the requests of a route among its services in proportion to their weights, and
+ * evenly over time, so that the count of each service always stays close to its share. Instances start at different
+ * points of the same order, so that the weights also hold for a fleet whose instances see only a request or two each.
  *
- * Requests that are refused before they are sent do not count for a service.
- * While one service refuses more than others, the others get no more than a
- * request or two beyond their share: the weights hold for what is served.
+ * Requests that are refused before they are sent do not count for a service. While one service refuses more requests
+ * than others, the others get at most a request or two beyond their share, so that the weights hold for the requests
+ * that are served.
  */
 class WeightedTurn {
 public:
-    /** The start is from 0 up to 1. */
+    /** `start` is the point of the order to start at, from 0 to below 1. */
     WeightedTurn(std::span<const WeightedService> services, double start);
 
     /** The service that the next request goes to. */
     const std::string& next();
-    /** A request that next() gave to this service was sent to it. */
+    /** Counts a request that next() assigned to this service and that was sent to it. */
     void sent(const std::string& service);
+    /** True when this object was made for the same services and weights. */
     bool isFor(std::span<const WeightedService> services) const;
 
 private:
     struct Part {
         WeightedService service;
-        double credit = 0; // requests that it is owed
-        double sentCredit = 0; // of those that were sent
+        double credit = 0; // requests that the service is owed, counting all that next() assigned
+        double sentCredit = 0; // the same, counting only requests that were sent
     };
 
-    /** The part that the next request is owed to. */
+    /** The target that the next request is owed to. */
     Part& takeTurn();
 
     std::vector<Part> parts;
--- a/Tests/Admission/CallerPatienceTest.cpp
+++ b/Tests/Admission/CallerPatienceTest.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** What a caller has spent, and whether it can still be in time. */
+/** The time that a caller has spent, and whether it counts as late. */
 struct Case {
     const char* name;
     Milliseconds spent;
@@ -21,12 +21,12 @@
 
 const std::vector<Case> Cases{
     { "a first try", { 0 }, { 250 }, false },
-    { "back soon", { 200 }, { 250 }, false },
-    { "back after most of its target", { 500 }, { 250 }, true },
-    { "back after its target", { 700 }, { 250 }, true },
+    { "an early retry", { 200 }, { 250 }, false },
+    { "a retry after most of the target", { 500 }, { 250 }, true },
+    { "a retry after the target", { 700 }, { 250 }, true },
     { "a first try at a service slower than the target", { 0 }, { 900 }, false },
-    { "back soon at a service slower than the target", { 250 }, { 900 }, false },
-    { "back late at a service slower than the target", { 350 }, { 900 }, true },
+    { "an early retry at a service slower than the target", { 250 }, { 900 }, false },
+    { "a late retry at a service slower than the target", { 350 }, { 900 }, true },
 };
 
 }
--- a/Tests/Admission/ComeBackTimeTest.cpp
+++ b/Tests/Admission/ComeBackTimeTest.cpp
@@ -18,12 +18,12 @@
 };
 
 const std::vector<Case> Cases{
-    { "no room: not before a target latency", RefusalReason::WaitedTooLong, { 600 }, 0, { 600 } },
-    { "no room: spread over another one", RefusalReason::WaitedTooLong, { 600 }, 0.5, { 900 } },
-    { "servers with room refused: soon", RefusalReason::BackendServersRefused, { 1000 }, 0.5, { 225 } },
-    { "but not at once", RefusalReason::BackendServersRefused, { 100 }, 0, { 100 } },
-    { "not too late for a slow route", RefusalReason::QueueFull, { 9000 }, 0.5, { 3000 } },
-    { "nobody there: the target says nothing of it", RefusalReason::NoBackendServer, { 9000 }, 0.5, { 1000 } },
+    { "no free slot: at least the target latency", RefusalReason::WaitedTooLong, { 600 }, 0, { 600 } },
+    { "no free slot: spread over another target latency", RefusalReason::WaitedTooLong, { 600 }, 0.5, { 900 } },
+    { "refused by servers with free slots: soon", RefusalReason::BackendServersRefused, { 1000 }, 0.5, { 225 } },
+    { "but at least the minimum", RefusalReason::BackendServersRefused, { 100 }, 0, { 100 } },
+    { "at most the maximum for a slow route", RefusalReason::QueueFull, { 9000 }, 0.5, { 3000 } },
+    { "no backend server: independent of the target", RefusalReason::NoBackendServer, { 9000 }, 0.5, { 1000 } },
 };
 
 }
@@ -40,6 +40,7 @@
 TEST(ComeBackTime, IsNotBeforeTheEndOfAPause)
 {
     DOUBLES_EQUAL(2000, comeBackAfterPause({ 2000 }, 0).count, 0.1);
-    DOUBLES_EQUAL_TEXT(3000, comeBackAfterPause({ 2000 }, 0.5).count, 0.1, "spread over as long again");
-    DOUBLES_EQUAL_TEXT(10000, comeBackAfterPause({ 1e15 }, 0.5).count, 0.1, "others may have come by then");
+    DOUBLES_EQUAL_TEXT(3000, comeBackAfterPause({ 2000 }, 0.5).count, 0.1, "spread over as long again as the pause");
+    DOUBLES_EQUAL_TEXT(
+        10000, comeBackAfterPause({ 1e15 }, 0.5).count, 0.1, "bounded, as other servers may have started by then");
 }
--- a/Tests/Admission/TokenShareTest.cpp
+++ b/Tests/Admission/TokenShareTest.cpp
@@ -9,20 +9,20 @@
 
 namespace {
 
-/** Arrivals, each of which wants to be let through, after others that did not. */
+/** Arrivals that do not need a token, followed by arrivals that each want one. */
 struct Case {
     const char* name;
     TokenShare::Options options;
-    int quiet; // arrivals that want nothing
+    int quiet; // arrivals that need no token
     int wanting;
     int letThrough;
 };
 
 const std::vector<Case> Cases{
-    { "the first may", { .share = 0.1, .most = 3 }, 0, 1, 1 },
-    { "a tenth of many", { .share = 0.1, .most = 3 }, 0, 100, 11 },
-    { "saved up", { .share = 0.1, .most = 3 }, 100, 5, 3 },
-    { "not more than the most", { .share = 0.5, .most = 2 }, 1000, 2, 2 },
+    { "the first arrival gets a token", { .share = 0.1, .most = 3 }, 0, 1, 1 },
+    { "a tenth of many arrivals", { .share = 0.1, .most = 3 }, 0, 100, 11 },
+    { "saved tokens", { .share = 0.1, .most = 3 }, 100, 5, 3 },
+    { "saved tokens are bounded", { .share = 0.5, .most = 2 }, 1000, 2, 2 },
 };
 
 }
--- a/Tests/Attempts/AttemptRulesTest.cpp
+++ b/Tests/Attempts/AttemptRulesTest.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-/** An attempt that ended, after what happened before. */
+/** A finished attempt with its history, and whether the request may be retried. */
 struct Case {
     const char* name;
     Repeat repeat;
-    unsigned mayHaveRun; // with the ended one, where it may have run
+    unsigned mayHaveRun; // includes the finished attempt if it may have run
     unsigned provedNotRun;
     AttemptResult result;
     bool again;
@@ -28,15 +28,15 @@
     { "once, another server", Once, 0, 1, AttemptResult::OtherServer, true },
     { "once, broken", Once, 1, 0, AttemptResult::Broken, false },
     { "once, error answer", Once, 1, 0, AttemptResult::ErrorAnswer, false },
-    { "once, late", Once, 1, 0, AttemptResult::TimedOut, false },
+    { "once, timed out", Once, 1, 0, AttemptResult::TimedOut, false },
     { "once, refused after one that may have run", Once, 1, 1, AttemptResult::RefusedNotRun, false },
     { "may, broken", May, 1, 0, AttemptResult::Broken, true },
     { "may, error answer", May, 1, 0, AttemptResult::ErrorAnswer, true },
-    { "may, ran on as many as allowed", May, 2, 0, AttemptResult::Broken, false },
-    { "may, refused ones do not count as run", May, 1, 3, AttemptResult::RefusedNotRun, true },
-    { "may, refused without end", May, 0, 5, AttemptResult::RefusedNotRun, false },
-    { "may, late", May, 1, 0, AttemptResult::TimedOut, false },
-    { "may, given up here", May, 1, 0, AttemptResult::Cancelled, false },
+    { "may, ran the maximum number of times", May, 2, 0, AttemptResult::Broken, false },
+    { "may, refused attempts do not count as run", May, 1, 3, AttemptResult::RefusedNotRun, true },
+    { "may, refused too often", May, 0, 5, AttemptResult::RefusedNotRun, false },
+    { "may, timed out", May, 1, 0, AttemptResult::TimedOut, false },
+    { "may, cancelled", May, 1, 0, AttemptResult::Cancelled, false },
 };
 
 }
--- a/Tests/Attempts/RetryBudgetTest.cpp
+++ b/Tests/Attempts/RetryBudgetTest.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-/** A fleet whose instances retry as often as they are let. */
+/** A fleet whose instances retry as often as their budgets allow. */
 struct Case {
     const char* name;
     std::size_t instances;
-    std::size_t knownInstances; // what each of them believes
+    std::size_t knownInstances; // fleet size known to each instance
     double share;
     double slack;
     int firstsPerSecond; // of each instance
@@ -21,8 +21,8 @@
 
 const std::vector<Case> Cases{
     { "one instance", 1, 1, 0.2, 64, 100 },
-    { "a fleet that sees itself", 18, 18, 0.2, 64, 8 },
-    { "a fleet that does not see itself", 18, 1, 0.2, 64, 8 },
+    { "instances that know the whole fleet", 18, 18, 0.2, 64, 8 },
+    { "instances that do not know each other", 18, 1, 0.2, 64, 8 },
     { "many instances with few requests", 142, 142, 0.2, 218, 6 },
     { "no share", 18, 18, 0, 0, 8 },
 };
--- a/Tests/Crashes/BrokenAttemptsTest.cpp
+++ b/Tests/Crashes/BrokenAttemptsTest.cpp
@@ -44,7 +44,7 @@
     LONGS_EQUAL(1, attempts.takeDue({ 32 }).size());
     LONGS_EQUAL(0, attempts.takeDue({ 33 }).size());
     LONGS_EQUAL(1, attempts.of(OneRequest));
-    // It lives: an end that comes later says nothing of this request.
+    // The server lives: a later crash is no evidence against this request.
     attempts.cameUp("s1", { 34 });
     CHECK(attempts.nextLook() == Never);
     LONGS_EQUAL(0, attempts.ended("s1").size());
--- a/Tests/Crashes/CrashTableTest.cpp
+++ b/Tests/Crashes/CrashTableTest.cpp
@@ -28,16 +28,16 @@
 
 constexpr std::uint64_t Caller = 70;
 constexpr std::uint64_t OtherCaller = 71;
-/** Ends further apart are no single event. */
+/** Crashes this far apart count as separate events. */
 constexpr Milliseconds Apart{ 20 };
 
-/** The end of a server; each has an address of its own. */
+/** A crash of a server; each server has its own address. */
 ServerEnd endOf(std::uint64_t server, Milliseconds at, std::uint64_t caller = Caller)
 {
     return { .server = server, .address = address(server), .caller = caller, .at = at };
 }
 
-/** The end of a process that had this address, one of many. */
+/** A crash of one of several processes that had the same address. */
 ServerEnd endAt(std::uint16_t port, std::uint64_t server, std::uint32_t ordinal = 1)
 {
     return { .server = server,
@@ -65,7 +65,7 @@
     }
 }
 
-/** What is known of a request, and whether it is refused for it. */
+/** The known crashes under a request, and whether it is refused because of them. */
 struct Case {
     const char* name;
     std::vector<ServerEnd> ends;
@@ -74,20 +74,21 @@
 };
 
 const std::vector<Case> Cases{
-    { "nothing", {}, false, false },
+    { "no crashes", {}, false, false },
     { "two servers", { endOf(1, { 0 }), endOf(2, { 50 }) }, false, false },
     { "three servers", { endOf(1, { 0 }), endOf(2, { 50 }), endOf(3, { 100 }) }, false, true },
     { "three servers at once", { endOf(1, { 0 }), endOf(2, { 2 }), endOf(3, { 4 }) }, false, false },
-    { "one end told three times", { endOf(1, { 0 }), endOf(1, { 30 }), endOf(1, { 9000 }) }, false, false },
+    { "one crash reported three times", { endOf(1, { 0 }), endOf(1, { 30 }), endOf(1, { 9000 }) }, false, false },
     { "three processes at one address of several", { endAt(7, 1), endAt(7, 2), endAt(7, 3) }, false, false },
     { "three processes of the only server", { endAt(7, 1), endAt(7, 2), endAt(7, 3) }, true, true },
-    { "three ends of two servers that keep their records", { endAt(7, 1, 1), endAt(7, 1, 2), endAt(8, 2, 1) }, false,
-        true },
-    { "another caller's",
+    { "three crashes of two servers, one of which keeps its record", { endAt(7, 1, 1), endAt(7, 1, 2), endAt(8, 2, 1) },
+        false, true },
+    { "crashes of another caller's requests",
         { endOf(1, { 0 }, OtherCaller), endOf(2, { 50 }, OtherCaller), endOf(3, { 100 }, OtherCaller) }, false, false },
-    { "several callers'", { endOf(1, { 0 }, OtherCaller), endOf(2, { 50 }, 72), endOf(3, { 100 }, 73) }, false, true },
-    { "several callers' at once", { endOf(1, { 0 }, OtherCaller), endOf(2, { 2 }, 72), endOf(3, { 4 }, 73) }, false,
-        false },
+    { "crashes of several callers' requests",
+        { endOf(1, { 0 }, OtherCaller), endOf(2, { 50 }, 72), endOf(3, { 100 }, 73) }, false, true },
+    { "crashes of several callers' requests at once",
+        { endOf(1, { 0 }, OtherCaller), endOf(2, { 2 }, 72), endOf(3, { 4 }, 73) }, false, false },
 };
 
 }
@@ -119,7 +120,7 @@
     CrashTable table = newTable();
     addEnds(table, Harmful, 1, 2, { 1000 });
     CHECK(table.answered(Harmful, Caller, { 2000 }, { 2000 }));
-    // Told late, or kept in the store, it does not come back.
+    // Late reports and records in the store do not restore cleared crashes.
     CHECK(!table.add(Harmful, endOf(1, { 1000 }), { 2100 }));
     CHECK(!table.addKept(Harmful, endOf(2, { 2050 }), { 2100 }));
     CHECK(table.add(Harmful, endOf(4, { 3000 }), { 3000 }));
@@ -179,7 +180,8 @@
 
 TEST(CrashTable, RequestsBesideAHarmfulOneAreServed)
 {
-    // A service of few servers, most of them down: each end meets many of those that call again and again.
+    // A service of few servers, most of them down: many callers keep retrying, so that each crash affects many
+    // requests.
     constexpr std::size_t ends = 30;
     constexpr std::uint64_t neighbours = 100;
     constexpr double meets = 0.15;
--- a/Tests/Limits/LimitBookTest.cpp
+++ b/Tests/Limits/LimitBookTest.cpp
@@ -1,5 +1,5 @@
-// Which of several statements of a backend server about its limit holds:
-// answers overtake each other, lives replace each other, others tell late.
+// Which of several reports about the limit of a backend server is valid when answers overtake each other, a new life
+// replaces another, and other instances pass on reports late.
 
 #include "Limits/LimitBook.h"
 
@@ -14,44 +14,47 @@
 namespace {
 
 enum class Way {
-    Heard, // a limit in an answer
-    Answered, // an answer without one
-    Told // by another instance
+    Heard, // an answer with a limit
+    Answered, // an answer without a limit
+    Told // a report from another instance
 };
 
 struct Statement {
     Way way = Way::Heard;
     std::uint64_t life = 1;
     std::optional<double> limit;
-    double sentAt = 0; // the answered request
+    double sentAt = 0; // when the answered request was sent
     double at = 0;
 };
 
 struct Case {
     const char* name;
     std::vector<Statement> statements;
-    std::optional<double> holds; // in the end, for the life below
+    std::optional<double> holds; // the limit in the end, of the life below
     std::uint64_t life = 1;
 };
 
 const std::vector<Case> Cases{
-    { "one", { { Way::Heard, 1, 3, 0, 10 } }, 3 },
-    { "a lower one of an older request", { { Way::Heard, 1, 3, 0, 10 }, { Way::Heard, 1, 2, 5, 20 } }, 2 },
-    { "a higher one of an older request", { { Way::Heard, 1, 3, 0, 10 }, { Way::Heard, 1, 8, 5, 20 } }, 3 },
-    { "a higher one of a later request", { { Way::Heard, 1, 3, 0, 10 }, { Way::Heard, 1, 8, 15, 20 } }, 8 },
-    { "none, of an older request", { { Way::Heard, 1, 3, 0, 10 }, { Way::Answered, 1, {}, 5, 20 } }, 3 },
-    { "none, of a later request", { { Way::Heard, 1, 3, 0, 10 }, { Way::Answered, 1, {}, 15, 20 } }, {} },
-    { "none, before any", { { Way::Answered, 1, {}, 5, 20 } }, {} },
-    { "again, after its end",
+    { "one limit", { { Way::Heard, 1, 3, 0, 10 } }, 3 },
+    { "a lower limit from an older request", { { Way::Heard, 1, 3, 0, 10 }, { Way::Heard, 1, 2, 5, 20 } }, 2 },
+    { "a higher limit from an older request", { { Way::Heard, 1, 3, 0, 10 }, { Way::Heard, 1, 8, 5, 20 } }, 3 },
+    { "a higher limit from a later request", { { Way::Heard, 1, 3, 0, 10 }, { Way::Heard, 1, 8, 15, 20 } }, 8 },
+    { "no limit from an older request", { { Way::Heard, 1, 3, 0, 10 }, { Way::Answered, 1, {}, 5, 20 } }, 3 },
+    { "no limit from a later request", { { Way::Heard, 1, 3, 0, 10 }, { Way::Answered, 1, {}, 15, 20 } }, {} },
+    { "an answer without a limit before any limit", { { Way::Answered, 1, {}, 5, 20 } }, {} },
+    { "a limit after the end of another",
         { { Way::Heard, 1, 3, 0, 10 }, { Way::Answered, 1, {}, 15, 20 }, { Way::Heard, 1, 4, 16, 30 } }, 4 },
-    { "nothing at all", { { Way::Heard, 1, 0, 0, 10 } }, 0 },
+    { "a limit of zero", { { Way::Heard, 1, 0, 0, 10 } }, 0 },
     { "a later life", { { Way::Heard, 1, 3, 0, 10 }, { Way::Heard, 2, 9, 5, 20 } }, {}, 1 },
-    { "of an earlier life, late", { { Way::Heard, 2, 9, 0, 10 }, { Way::Heard, 1, 3, 15, 20 } }, 9, 2 },
-    { "an answer of a later life without one", { { Way::Heard, 1, 3, 0, 10 }, { Way::Answered, 2, {}, 15, 20 } }, {} },
-    { "told", { { Way::Told, 1, 5, 0, 10 } }, 5 },
-    { "told of its end, hardly later", { { Way::Heard, 1, 3, 0, 10 }, { Way::Told, 1, {}, 0, 60 } }, 3 },
-    { "told of its end, later", { { Way::Heard, 1, 3, 0, 10 }, { Way::Told, 1, {}, 0, 160 } }, {} },
-    { "told of an older one", { { Way::Heard, 1, 3, 0, 100 }, { Way::Told, 1, 1, 0, 50 } }, 3 },
+    { "a late report of an earlier life", { { Way::Heard, 2, 9, 0, 10 }, { Way::Heard, 1, 3, 15, 20 } }, 9, 2 },
+    { "an answer of a later life without a limit", { { Way::Heard, 1, 3, 0, 10 }, { Way::Answered, 2, {}, 15, 20 } },
+        {} },
+    { "a limit from another instance", { { Way::Told, 1, 5, 0, 10 } }, 5 },
+    { "an end from another instance, within the margin", { { Way::Heard, 1, 3, 0, 10 }, { Way::Told, 1, {}, 0, 60 } },
+        3 },
+    { "an end from another instance, after the margin", { { Way::Heard, 1, 3, 0, 10 }, { Way::Told, 1, {}, 0, 160 } },
+        {} },
+    { "an older limit from another instance", { { Way::Heard, 1, 3, 0, 100 }, { Way::Told, 1, 1, 0, 50 } }, 3 },
 };
 
 }
--- a/Tests/Limits/PermitScheduleTest.cpp
+++ b/Tests/Limits/PermitScheduleTest.cpp
@@ -1,5 +1,5 @@
-// Permits of one backend server: never more than its limit in any span of
-// time, and one, whoever asks how often and how patiently.
+// Permits of one backend server: in any period at most one more than its limit allows, however often permits are
+// requested and however long the requests can wait.
 
 #include "Limits/PermitSchedule.h"
 #include "Base/Random.h"
@@ -18,22 +18,22 @@
 struct Case {
     const char* name;
     double limit; // requests a second
-    double asks; // a second
+    double asks; // requests for permits, a second
     Milliseconds patience;
 };
 
 const std::vector<Case> Cases{
-    { "few asks", 3, 1, {} },
-    { "many impatient asks", 3, 200, {} },
-    { "many patient asks", 3, 200, { 400 } },
+    { "few requests", 3, 1, {} },
+    { "many requests that cannot wait", 3, 200, {} },
+    { "many requests that can wait", 3, 200, { 400 } },
     { "half a request a second", 0.5, 50, { 300 } },
     { "a high limit", 100, 400, { 50 } },
-    { "nothing", 0, 20, { 300 } },
+    { "a limit of zero", 0, 20, { 300 } },
 };
 
 constexpr Milliseconds Watched{ 60000 };
 constexpr Milliseconds Window{ 4000 };
-/** Where the limit is nothing, a server is asked so often for its word. */
+/** Rate of permits at a limit of zero, which keeps up the reports about the limit. */
 constexpr double LeastPerSecond = 0.2;
 
 }
--- a/Tests/Measurement/ProbeDeskTest.cpp
+++ b/Tests/Measurement/ProbeDeskTest.cpp
@@ -28,15 +28,15 @@
     double share;
 };
 
-const std::vector<Case> Cases{ { "three", 3, 1, 60, 1 }, { "three apart", 3, 3, 60, 1 }, { "eighteen", 18, 4, 60, 1 },
-    { "eighteen in one place", 18, 1, 60, 1 }, { "a hundred", 99, 3, 60, 1 }, { "more", 142, 4, 60, 1 },
-    { "hundreds", 473, 6, 60, 1 }, { "hundreds, little allowed", 473, 6, 60, 0.3 },
-    { "little allowed", 18, 4, 60, 0.1 }, { "nothing allowed", 18, 4, 0, 1 } };
+const std::vector<Case> Cases{ { "three", 3, 1, 60, 1 }, { "three in three data centres", 3, 3, 60, 1 },
+    { "eighteen", 18, 4, 60, 1 }, { "eighteen in one data centre", 18, 1, 60, 1 }, { "a hundred", 99, 3, 60, 1 },
+    { "more", 142, 4, 60, 1 }, { "hundreds", 473, 6, 60, 1 }, { "hundreds, small budget", 473, 6, 60, 0.3 },
+    { "small budget", 18, 4, 60, 0.1 }, { "no budget", 18, 4, 0, 1 } };
 
 constexpr int SpanMilliseconds = 5000;
 constexpr int SecondMilliseconds = 1000;
 
-/** The desks of a whole fleet that wants to ask one server, in dc-0. */
+/** All instances of a fleet, each of which wants to probe the same server in dc-0. */
 class AskingFleet {
 public:
     explicit AskingFleet(const Case& item)
@@ -52,7 +52,7 @@
         }
     }
 
-    /** How many ask at this moment. */
+    /** Lets each instance try to send a probe; returns how many did. */
     int askAt(Milliseconds now)
     {
         int asking = 0;
@@ -73,7 +73,7 @@
     std::vector<std::unique_ptr<ProbeDesk>> desks;
 };
 
-/** The most probes within any second when all want to ask in every so many milliseconds. */
+/** The maximum number of probes within any second when each instance tries every `every` milliseconds. */
 int mostInAnySecond(const Case& item, int every)
 {
     AskingFleet fleet(item);
@@ -91,7 +91,7 @@
     return most;
 }
 
-/** Probes that an instance in this data centre sends in 20 s when it asks at every moment. */
+/** Number of probes that an instance in this data centre sends in 20 s when it tries every millisecond. */
 int probesFrom(const Case& item, const char* dataCentre)
 {
     constexpr int milliseconds = 20000;
@@ -114,18 +114,18 @@
 
 TEST_GROUP(ProbeDesk){};
 
-// Also right after all have started or woken together, when nobody has asked before.
+// Holds also right after all instances have started or resumed together, when no budget has been used before.
 TEST(ProbeDesk, TheFleetKeepsItsBudgetInEverySecondHoweverLarge)
 {
     for (const Case& item : Cases) {
         for (const int every : { 10, 249, 700, 999 }) {
-            // A fleet of three knows of fewer than the least that is assumed, which is on the safe side.
+            // A fleet of three is assumed to be larger, which makes the shares smaller.
             CHECK_TEXT(mostInAnySecond(item, every) <= item.perSecond * item.share + 0.5, item.name);
         }
     }
 }
 
-// Many instances with few requests each: the first request must find servers that it may ask.
+// In a large fleet each instance gets few requests, so that even its first one must be allowed to probe some servers.
 TEST(ProbeDesk, AtTheFirstMomentAnInstanceOfALargeFleetMayAskSomeOfTheServersNearby)
 {
     constexpr std::size_t servers = 18;
@@ -159,7 +159,7 @@
     CHECK_FALSE(desk.start(asked, "/load", 1, { 500 }).has_value());
     CHECK(desk.ended(probe->number) == asked);
     CHECK_FALSE(desk.isUnderWay("s1"));
-    CHECK_TEXT(!desk.ended(probe->number), "an end counts once");
+    CHECK_TEXT(!desk.ended(probe->number), "a probe ends once");
 }
 
 TEST(ProbeDesk, AsksNobodyWithoutAPath)
--- a/Tests/Measurement/ServerSearchTest.cpp
+++ b/Tests/Measurement/ServerSearchTest.cpp
@@ -18,26 +18,26 @@
 constexpr Milliseconds UsualTime{ 160 };
 constexpr Milliseconds Arrival{ 1000 };
 
-/** What a server told a moment ago, and whether a request may go there now. */
+/** A recent report of a server, and whether a request is sent there. */
 struct Case {
     const char* name;
-    Milliseconds spent; // by the caller before
+    Milliseconds spent; // by the caller before this request
     Milliseconds waited;
     std::uint32_t workPercent;
-    Milliseconds toldBefore;
+    Milliseconds toldBefore; // age of the report
     bool isSent;
 };
 
 const std::vector<Case> Cases{
-    { "a server that is well", { 0 }, { 0 }, 100, { 5 }, true },
-    { "twice as long is still in time", { 0 }, { 0 }, 200, { 5 }, true },
-    { "five times as long is late", { 0 }, { 0 }, 500, { 5 }, false },
-    { "after waiting twice as long is late, too", { 0 }, { 100 }, 200, { 5 }, false },
-    { "it is still taken at its word", { 0 }, { 0 }, 500, { 110 }, false },
-    { "it told so long ago that it may be well", { 0 }, { 0 }, 500, { 140 }, true },
-    { "a caller that is late already holds no slot for long", { 2000 }, { 0 }, 500, { 5 }, false },
-    { "a late caller goes where work takes its usual time", { 2000 }, { 0 }, 120, { 5 }, true },
-    { "after the hold any server is better than none", { 0 }, { 141 }, 500, { 5 }, true },
+    { "usual speed", { 0 }, { 0 }, 100, { 5 }, true },
+    { "twice the usual time is still in time", { 0 }, { 0 }, 200, { 5 }, true },
+    { "five times the usual time is late", { 0 }, { 0 }, 500, { 5 }, false },
+    { "twice the usual time is late after a wait", { 0 }, { 100 }, 200, { 5 }, false },
+    { "a slow report of 110 ms ago still counts", { 0 }, { 0 }, 500, { 110 }, false },
+    { "a slow report of 140 ms ago no longer counts", { 0 }, { 0 }, 500, { 140 }, true },
+    { "a late caller does not go to a slow server either", { 2000 }, { 0 }, 500, { 5 }, false },
+    { "a late caller goes to a server at about usual speed", { 2000 }, { 0 }, 120, { 5 }, true },
+    { "after the maximum hold time any server is better than none", { 0 }, { 141 }, 500, { 5 }, true },
 };
 
 std::unique_ptr<ServicePool> poolOf(const std::vector<std::string>& ids)
@@ -70,8 +70,8 @@
     }
 };
 
-// Noisy neighbours: three of ten servers work five times as long, for 150 ms;
-// what begins there stays slow, is late and holds one of two slots meanwhile.
+// Guards against sending requests to servers that are slowed down by noisy neighbours: for 150 ms three of ten servers
+// take five times as long. A request that starts there stays slow, is late and occupies one of two slots meanwhile.
 TEST(ServerSearch, ARequestIsHeldBackFromAServerWhereItWouldBeLate)
 {
     for (const Case& item : Cases) {
@@ -121,7 +121,7 @@
     const Milliseconds now = Arrival + Milliseconds{ 3 };
     pool->find("s1")->reported({ .slots = 2, .workPercent = 500 }, now);
     CHECK_FALSE(this->search.isEnough(request, *pool->find("s1"), now));
-    CHECK_FALSE_TEXT(this->search.isEnough(request, *pool->find("s1"), now), "it was not awaited any more");
+    CHECK_FALSE_TEXT(this->search.isEnough(request, *pool->find("s1"), now), "the server is no longer awaited");
     request.asked = { "s1", "s2" };
     pool->find("s2")->reported({ .slots = 2, .workPercent = 100 }, now);
     CHECK(this->search.isEnough(request, *pool->find("s2"), now));
--- a/Tests/Routing/ColdStartShareTest.cpp
+++ b/Tests/Routing/ColdStartShareTest.cpp
@@ -19,12 +19,12 @@
 };
 
 const std::vector<Case> Cases{ { "three", 3, 2.5 }, { "eighteen", 18, 2.5 }, { "a hundred", 95, 2.5 },
-    { "hundreds", 473, 2.5 }, { "few, little", 3, 0.5 }, { "hundreds, more", 473, 6 } };
+    { "hundreds", 473, 2.5 }, { "three, low rate", 3, 0.5 }, { "hundreds, higher rate", 473, 6 } };
 
 constexpr int SecondMilliseconds = 1000;
 constexpr int SpanMilliseconds = 6000;
 constexpr int Servers = 40;
-/** What the users' platform allows beyond what a cold server bears. */
+/** The users' platform allows the rate of a cold server times this factor, plus the slack, in any second. */
 constexpr double Overage = 1.5;
 constexpr double Slack = 8;
 
@@ -36,7 +36,7 @@
     return { record, { 0 } };
 }
 
-/** How an instance of a fleet keeps to its part. */
+/** The method by which an instance of a fleet keeps to its share. */
 class Keeper {
 public:
     virtual ~Keeper() = default;
@@ -64,7 +64,7 @@
     ColdStartShare share;
 };
 
-/** Each instance may send one, and then one again whenever its part of the rate allows it. */
+/** Each instance may send one request at once, and then one whenever its share of the rate allows it. */
 class NaiveKeeper final : public Keeper {
 public:
     explicit NaiveKeeper(const Case& item)
@@ -103,7 +103,7 @@
     return fleet;
 }
 
-/** The most requests within any second when all want to send in every so many milliseconds. */
+/** The maximum number of requests within any second when each instance tries to send every `every` milliseconds. */
 int mostInAnySecond(const Fleet& fleet, int every)
 {
     const BackendServerState server = coldServer("s1");
@@ -125,7 +125,7 @@
 
 TEST_GROUP(ColdStartShare){};
 
-// From the first moment on, when nobody has sent anything before.
+// The limit holds from the first moment on, when no instance has sent anything before.
 TEST(ColdStartShare, TheFleetKeepsTheBoundInEverySecond)
 {
     for (const Case& item : Cases) {
--- a/Tests/Routing/NoticeBookTest.cpp
+++ b/Tests/Routing/NoticeBookTest.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** Lives of one server that say one after the other that they leave, and of which it is then known. */
+/** Notices of shutdown by lives of one server, in this order, and whether a life then counts as leaving. */
 struct Case {
     const char* name;
     std::vector<std::uint64_t> said;
@@ -19,12 +19,12 @@
 };
 
 const std::vector<Case> Cases{
-    { "nothing was said", {}, 5, false },
-    { "this life said it", { 5 }, 5, true },
-    { "an earlier life said it", { 5 }, 9, false },
-    { "an earlier life said it too, late", { 9, 5 }, 9, true },
-    { "an earlier life is over", { 5, 9 }, 5, false },
-    { "lives that are not told apart", { 0 }, 0, true },
+    { "no notice", {}, 5, false },
+    { "a notice of this life", { 5 }, 5, true },
+    { "a notice of an earlier life", { 5 }, 9, false },
+    { "a late notice of an earlier life as well", { 9, 5 }, 9, true },
+    { "an earlier life has been replaced", { 5, 9 }, 5, false },
+    { "lives without a number", { 0 }, 0, true },
 };
 
 }
@@ -69,11 +69,11 @@
     NoticeBook book({});
     CHECK(book.pausedUntil("s1", 5) == LongAgo);
     CHECK(book.heardPause("s1", 5, { 500 }, { 10 }));
-    CHECK_FALSE_TEXT(book.heardPause("s1", 5, { 400 }, { 20 }), "a shorter one ends no longer one");
+    CHECK_FALSE_TEXT(book.heardPause("s1", 5, { 400 }, { 20 }), "a shorter pause does not replace a longer one");
     CHECK(book.pausedUntil("s1", 5) == Milliseconds{ 500 });
     CHECK(book.heardPause("s1", 5, { 900 }, { 30 }));
     CHECK(book.pausedUntil("s1", 6) == LongAgo);
-    CHECK_FALSE_TEXT(book.heardPause("s1", 4, { 2000 }, { 40 }), "of an earlier life");
+    CHECK_FALSE_TEXT(book.heardPause("s1", 4, { 2000 }, { 40 }), "a pause of an earlier life");
     CHECK(book.heardPause("s1", 6, { 600 }, { 50 }));
     CHECK(book.pausedUntil("s1", 6) == Milliseconds{ 600 });
     CHECK(book.pausedUntil("s1", 5) == LongAgo);
--- a/Tests/Routing/ServicePoolTest.cpp
+++ b/Tests/Routing/ServicePoolTest.cpp
@@ -26,7 +26,7 @@
 const AttemptEnd Success{ .result = AttemptResult::Answered };
 const AttemptEnd Refusal{ .result = AttemptResult::RefusedNotRun };
 
-/** Two servers with reports; the first is better, or the reports say nothing any more. */
+/** Two servers with reports: the first is better, or the reports are too old to matter. */
 struct Case {
     const char* name;
     LoadFigures first;
@@ -37,8 +37,8 @@
 
 const std::vector<Case> Cases{
     { "fewer requests", { 0, 0, 3, 100 }, { 2, 0, 3, 100 }, { 5 }, true },
-    { "faster at the moment", { 1, 0, 3, 100 }, { 0, 0, 3, 500 }, { 5 }, true },
-    { "a report of long ago", { 0, 0, 3, 100 }, { 1, 0, 3, 100 }, { 5000 }, false },
+    { "faster now", { 1, 0, 3, 100 }, { 0, 0, 3, 500 }, { 5 }, true },
+    { "an old report", { 0, 0, 3, 100 }, { 1, 0, 3, 100 }, { 5000 }, false },
 };
 
 }
@@ -95,7 +95,8 @@
     }
 }
 
-// In a pool of 92 servers four of five choices missed the figures that had just been asked for.
+// Guards against scoring a sample of the pool only: with 92 servers, four of five choices then missed the servers that
+// had just been probed.
 TEST(ServicePool, FindsTheFewFreshFiguresInALargePool)
 {
     constexpr int servers = 92;
@@ -164,7 +165,8 @@
     LONGS_EQUAL_TEXT(0, this->timesChosen("s1"), "one at a time");
     this->pool.find("s1")->ended(7, Failure, { 20 }, this->context.now);
     this->pool.checkOutlier(*this->pool.find("s1"), this->context.now);
-    CHECK_TEXT(this->pool.find("s1")->isEjected({ 2500 }), "one failure on trial is enough, for twice as long");
+    CHECK_TEXT(
+        this->pool.find("s1")->isEjected({ 2500 }), "one failure on trial is enough for an ejection of twice the time");
 }
 
 TEST(ServicePool, AnAnswerEndsTheTrial)
@@ -203,7 +205,7 @@
     for (AttemptNumber attempt = 1; attempt <= 2; ++attempt)
         liar->sent(attempt, { 900 });
     liar->reported({ 0, 0, 3, 100 }, this->context.now);
-    CHECK_FALSE_TEXT(liar->reportIsTrusted(this->context.now), "two requests from here alone are there");
+    CHECK_FALSE_TEXT(liar->reportIsTrusted(this->context.now), "two requests of this instance alone are in flight");
     CHECK(liar->reportIsTrusted({ 5000 }));
     const auto honest = this->pool.find("s2");
     honest->sent(3, { 900 });
@@ -211,10 +213,11 @@
     CHECK(honest->reportIsTrusted(this->context.now));
     honest->sent(4, this->context.now);
     honest->reported({ 1, 0, 3, 100 }, this->context.now);
-    CHECK_TEXT(honest->reportIsTrusted(this->context.now), "the last one may still be on its way");
+    CHECK_TEXT(honest->reportIsTrusted(this->context.now), "the last one may not have reached the server yet");
 }
 
-// All instances waited for a server of whose room nobody asked any more (soak, seed 2).
+// Guards against requests that wait for ever: no instance probed the full server any more, so none noticed that it had
+// room again (soak test, seed 2).
 TEST(ServicePool, AFullServerOfWhichNothingIsHeardIsTriedByOneRequest)
 {
     ServicePool single(std::make_unique<LoadAwarePolicy>(), {});
@@ -223,13 +226,13 @@
     server->reported({ 3, 0, 3, 100 }, this->context.now);
     CHECK_FALSE_TEXT(single.choose({}, this->context, this->random).server, "it is full");
     this->context.now = this->context.now + Milliseconds{ 400 };
-    CHECK_TEXT(single.choose({}, this->context, this->random).server, "that was a while ago");
+    CHECK_TEXT(single.choose({}, this->context, this->random).server, "the report is old");
     server->sent(1, this->context.now);
-    CHECK_FALSE_TEXT(single.choose({}, this->context, this->random).server, "one is on its way");
+    CHECK_FALSE_TEXT(single.choose({}, this->context, this->random).server, "one request is in flight");
 }
 
-// Three of four servers that had spoken of leaving and stayed got nothing for ever (soak, seed 2): only a new life of
-// such a server gets requests again, whatever its health answers say.
+// Three of four servers that announced a shutdown but kept running got no requests for ever (soak test, seed 2). Only a
+// new life of such a server gets requests again, whatever its answers to probes say.
 TEST(ServicePool, AServerThatSaidItWasLeavingIsUsedAgainInANewLifeOnly)
 {
     BackendServerRecord server = record("s1");
@@ -244,7 +247,8 @@
     CHECK(this->pool.find("s1")->takesNewRequests());
 }
 
-// Of many that were never heard one always looks a little better than the few that were asked.
+// Guards against choosing servers that never reported: among many of them, one always scores a little better than the
+// few that were probed.
 TEST(ServicePool, AtTheBeginningThoseWithFreshFiguresGoBeforeThoseNeverHeard)
 {
     constexpr int others = 30;
@@ -257,7 +261,7 @@
     for (const char* id : { "s1", "s2", "s3" })
         this->pool.find(id)->reported({ 1, 0, 3, 500 }, this->context.now);
     for (int count = 0; count < others; ++count)
-        CHECK_TEXT(this->chosen().starts_with("other"), "slow ones do not");
+        CHECK_TEXT(this->chosen().starts_with("other"), "slow ones are not preferred");
 }
 
 TEST(ServicePool, KeepsWithinItsShareOfConnections)
@@ -305,7 +309,7 @@
         DOUBLES_EQUAL(slowdown > 1.25 ? 2 : 3, crowding.usefulSlots(3), 0.01);
         CHECK(crowding.usefulSlots(1) >= 1);
     }
-    DOUBLES_EQUAL_TEXT(3, CrowdingEstimate().usefulSlots(3), 0, "nothing is assumed");
+    DOUBLES_EQUAL_TEXT(3, CrowdingEstimate().usefulSlots(3), 0, "without samples no slowdown is assumed");
     CrowdingEstimate crowding;
     for (int sample = 0; sample < 30; ++sample) {
         crowding.add(1, 0.5);
