--- a/Source/Admission/ComeBackTime.cpp
+++ b/Source/Admission/ComeBackTime.cpp
@@ -6,34 +6,34 @@
 
 namespace {
 
-constexpr Milliseconds Shortest{ 100 };
-constexpr Milliseconds Longest{ 3000 };
+constexpr Milliseconds ShortestDelay{ 100 };
+constexpr Milliseconds LongestDelay{ 3000 };
 /**
  * Bounds the delay because servers may ask for pauses of hours, while others may be started meanwhile. Delays are
  * spread over a period as long as the rest of the pause, so that the callers refused during the pause do not return at
  * a higher rate than they arrived.
  */
-constexpr Milliseconds LongestPause{ 10000 };
+constexpr Milliseconds LongestPauseDelay{ 10000 };
 /**
  * Share of the usual delay when backend servers with free slots refused the request and the retry budget is spent:
  * another try may well succeed, and its answer can still be in time. While all servers of a service refused half of
  * their requests for 8.5 s, 780 of about 9,800 callers were late with the shorter delay and 922 without it.
  */
-constexpr double SoonShare = 0.15;
+constexpr double EarlyRetryShare = 0.15;
 
 }
 
 Milliseconds comeBackAfterPause(Milliseconds left, double random)
 {
-    return std::clamp(left * (1 + random), Shortest, LongestPause);
+    return std::clamp(left * (1 + random), ShortestDelay, LongestPauseDelay);
 }
 
 Milliseconds comeBackAfter(RefusalReason reason, Milliseconds targetLatency, double random)
 {
     if (reason == RefusalReason::NoBackendServer || reason == RefusalReason::DataCentreEmptied)
         return UsualComeBack;
-    const double share = reason == RefusalReason::BackendServersRefused ? SoonShare : 1;
-    return std::clamp(targetLatency * (share * (1 + random)), Shortest, Longest);
+    const double share = reason == RefusalReason::BackendServersRefused ? EarlyRetryShare : 1;
+    return std::clamp(targetLatency * (share * (1 + random)), ShortestDelay, LongestDelay);
 }
 
 }
--- a/Source/Admission/WaitingQueue.cpp
+++ b/Source/Admission/WaitingQueue.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /** After this many requests of the lowest rank, one of the next rank is taken. */
-constexpr unsigned FirstPlacesInARow = 19;
+constexpr unsigned MaxLowestRankInARow = 19;
 
 }
 
@@ -27,11 +27,11 @@
     if (this->ranks.empty())
         return std::nullopt;
     auto taken = this->ranks.begin();
-    const bool isTurnOfOthers = ++this->firstInARow > FirstPlacesInARow && this->ranks.size() > 1;
-    if (isTurnOfOthers)
+    const bool isTurnOfNextRank = ++this->lowestRankInARow > MaxLowestRankInARow && this->ranks.size() > 1;
+    if (isTurnOfNextRank)
         taken = std::next(taken);
-    if (isTurnOfOthers || this->ranks.size() == 1)
-        this->firstInARow = 0;
+    if (isTurnOfNextRank || this->ranks.size() == 1)
+        this->lowestRankInARow = 0;
     const RequestNumber request = taken->second.front();
     taken->second.pop_front();
     if (taken->second.empty())
@@ -54,7 +54,7 @@
     return sum;
 }
 
-std::size_t WaitingQueue::ahead(std::uint32_t rank) const
+std::size_t WaitingQueue::countAhead(std::uint32_t rank) const
 {
     std::size_t sum = 0;
     for (auto item = this->ranks.begin(); item != this->ranks.end() && item->first <= rank; ++item)
--- a/Source/Admission/WaitingQueue.h
+++ b/Source/Admission/WaitingQueue.h
@@ -26,11 +26,11 @@
 
     std::size_t size() const;
     /** How many requests are ahead of a new request of this rank. */
-    std::size_t ahead(std::uint32_t rank) const;
+    std::size_t countAhead(std::uint32_t rank) const;
 
 private:
     std::map<std::uint32_t, std::deque<RequestNumber>> ranks;
-    unsigned firstInARow = 0;
+    unsigned lowestRankInARow = 0;
 };
 
 }
--- a/Source/Attempts/RetryBudget.cpp
+++ b/Source/Attempts/RetryBudget.cpp
@@ -9,9 +9,9 @@
 /**
  * Share of the bound that is used; the rest is a reserve, because the bound applies to windows that start at any time.
  */
-constexpr double Used = 0.85;
+constexpr double UsedShare = 0.85;
 /** Share of the budget that hedges may use. */
-constexpr double HedgePart = 0.7;
+constexpr double HedgeShare = 0.7;
 /** Smallest fleet size to assume while the fleet is not known yet. */
 constexpr std::size_t FewestInstances = 8;
 
@@ -32,7 +32,7 @@
 bool RetryBudget::takeWithin(double part, Milliseconds now)
 {
     const auto divisor = 2 * static_cast<double>(std::max(this->instances, FewestInstances));
-    const double ofFirsts = this->limits.share * Used * static_cast<double>(this->firsts.count(now));
+    const double ofFirsts = this->limits.share * UsedShare * static_cast<double>(this->firsts.count(now));
     const double allowed = part * (ofFirsts + this->limits.slack / divisor);
     if (static_cast<double>(this->retries.count(now)) + 1 > allowed)
         return false;
@@ -47,7 +47,7 @@
 
 bool RetryBudget::takeForHedge(Milliseconds now)
 {
-    return this->takeWithin(HedgePart, now);
+    return this->takeWithin(HedgeShare, now);
 }
 
 }
--- a/Source/Crashes/BrokenAttempts.cpp
+++ b/Source/Crashes/BrokenAttempts.cpp
@@ -12,25 +12,25 @@
 
 bool BrokenAttempts::add(const BrokenAttempt& attempt, Milliseconds now)
 {
-    std::erase_if(this->attempts, [&](const BrokenAttempt& item) { return now - item.brokeAt > this->options.kept; });
-    if (!attempt.digest.isKnown() || this->attempts.size() >= this->options.most)
+    std::erase_if(this->attempts, [&](const BrokenAttempt& item) { return now - item.brokeAt > this->options.maxAge; });
+    if (!attempt.digest.isKnown() || this->attempts.size() >= this->options.maxAttempts)
         return false;
     this->attempts.push_back(attempt);
-    if (this->lookAt(attempt.backendServer) != this->looks.end())
+    if (this->findCheck(attempt.backendServer) != this->checks.end())
         return false;
-    this->looks.push_back({ .server = { .backendServer = attempt.backendServer, .address = attempt.address } });
+    this->checks.push_back({ .server = { .backendServer = attempt.backendServer, .address = attempt.address } });
     return true;
 }
 
-std::vector<BrokenAttempts::Look>::iterator BrokenAttempts::lookAt(std::string_view backendServer)
+std::vector<BrokenAttempts::Check>::iterator BrokenAttempts::findCheck(std::string_view backendServer)
 {
-    return std::find_if(this->looks.begin(), this->looks.end(),
-        [&](const Look& look) { return look.server.backendServer == backendServer; });
+    return std::find_if(this->checks.begin(), this->checks.end(),
+        [&](const Check& check) { return check.server.backendServer == backendServer; });
 }
 
 std::vector<BrokenAttempt> BrokenAttempts::ended(std::string_view backendServer)
 {
-    std::erase_if(this->looks, [&](const Look& look) { return look.server.backendServer == backendServer; });
+    std::erase_if(this->checks, [&](const Check& check) { return check.server.backendServer == backendServer; });
     const auto kept = std::stable_partition(this->attempts.begin(), this->attempts.end(),
         [&](const BrokenAttempt& item) { return item.backendServer != backendServer; });
     std::vector<BrokenAttempt> found(std::make_move_iterator(kept), std::make_move_iterator(this->attempts.end()));
@@ -40,23 +40,23 @@
 
 void BrokenAttempts::cameUp(std::string_view backendServer, Milliseconds now)
 {
-    const auto look = this->lookAt(backendServer);
-    if (look == this->looks.end())
+    const auto check = this->findCheck(backendServer);
+    if (check == this->checks.end())
         return;
-    if (look->step == Step::Second)
+    if (check->step == Step::Second)
         return this->forget(backendServer);
-    look->step = Step::Between;
-    look->secondAt = now + this->options.secondLook;
+    check->step = Step::Between;
+    check->secondAt = now + this->options.secondCheckDelay;
 }
 
 std::vector<ServerToCheck> BrokenAttempts::takeDue(Milliseconds now)
 {
     std::vector<ServerToCheck> due;
-    for (Look& look : this->looks) {
-        if (look.step != Step::Between || now < look.secondAt)
+    for (Check& check : this->checks) {
+        if (check.step != Step::Between || now < check.secondAt)
             continue;
-        look.step = Step::Second;
-        due.push_back(look.server);
+        check.step = Step::Second;
+        due.push_back(check.server);
     }
     return due;
 }
@@ -64,9 +64,9 @@
 Milliseconds BrokenAttempts::nextLook() const
 {
     Milliseconds next = Never;
-    for (const Look& look : this->looks) {
-        if (look.step == Step::Between)
-            next = std::min(next, look.secondAt);
+    for (const Check& check : this->checks) {
+        if (check.step == Step::Between)
+            next = std::min(next, check.secondAt);
     }
     return next;
 }
--- a/Source/Crashes/BrokenAttempts.h
+++ b/Source/Crashes/BrokenAttempts.h
@@ -43,13 +43,13 @@
 class BrokenAttempts {
 public:
     struct Options {
-        Milliseconds kept{ 1000 }; // maximum age of an attempt; both checks have ended by then
+        Milliseconds maxAge{ 1000 }; // maximum age of an attempt; both checks have ended by then
         /** Time between the checks; short, because the server may crash for another reason meanwhile. */
-        Milliseconds secondLook{ 30 };
+        Milliseconds secondCheckDelay{ 30 };
         /**
          * Maximum number of attempts. The loss of a data centre breaks a few hundred at one instance; more add nothing.
          */
-        std::size_t most = 256;
+        std::size_t maxAttempts = 256;
     };
 
     explicit BrokenAttempts(Options options);
@@ -81,17 +81,17 @@
     };
 
     /** The checks of a server. */
-    struct Look {
+    struct Check {
         ServerToCheck server;
         Step step = Step::First;
         Milliseconds secondAt;
     };
 
-    std::vector<Look>::iterator lookAt(std::string_view backendServer);
+    std::vector<Check>::iterator findCheck(std::string_view backendServer);
 
     Options options;
     std::vector<BrokenAttempt> attempts;
-    std::vector<Look> looks;
+    std::vector<Check> checks;
 };
 
 }
--- a/Source/Crashes/CrashTable.cpp
+++ b/Source/Crashes/CrashTable.cpp
@@ -13,55 +13,55 @@
 namespace {
 
 /** Attempts that broke at one server within this time saw the same crash: no process restarts faster. */
-constexpr Milliseconds SameEnd{ 1000 };
+constexpr Milliseconds SameCrashPeriod{ 1000 };
 /**
  * Crashes that are closer together than this count as one event, such as the loss of a rack, whose crashes instances
  * see within a few milliseconds. A request that crashes servers one after another takes longer to reach and crash the
  * next.
  */
-constexpr Milliseconds SameMoment{ 15 };
+constexpr Milliseconds SameEventPeriod{ 15 };
 /** Maximum number of callers of one request whose answers are remembered. */
 constexpr std::size_t MostAnswers = 16;
 
-std::size_t addressesOf(std::span<const ServerEnd> ends)
+std::size_t addressesOf(std::span<const ServerEnd> crashes)
 {
     std::set<NetworkAddress> addresses;
-    for (const ServerEnd& end : ends)
-        addresses.insert(end.address);
+    for (const ServerEnd& crash : crashes)
+        addresses.insert(crash.address);
     return addresses.size();
 }
 
-std::size_t callersOf(std::span<const ServerEnd> ends)
+std::size_t callersOf(std::span<const ServerEnd> crashes)
 {
     std::set<std::uint64_t> callers;
-    for (const ServerEnd& end : ends)
-        callers.insert(end.caller);
+    for (const ServerEnd& crash : crashes)
+        callers.insert(crash.caller);
     return callers.size();
 }
 
 /** Without duplicates of the same crash; the first one in the list stays. */
-std::vector<ServerEnd> distinctOf(std::span<const ServerEnd> ends)
+std::vector<ServerEnd> distinctCrashes(std::span<const ServerEnd> crashes)
 {
     std::vector<ServerEnd> distinct;
-    for (const ServerEnd& end : ends) {
-        if (std::none_of(distinct.begin(), distinct.end(), [&](const ServerEnd& item) { return item.isSame(end); }))
-            distinct.push_back(end);
+    for (const ServerEnd& crash : crashes) {
+        if (std::none_of(distinct.begin(), distinct.end(), [&](const ServerEnd& item) { return item.isSame(crash); }))
+            distinct.push_back(crash);
     }
     return distinct;
 }
 
-std::size_t momentsOf(std::vector<Milliseconds> times)
+std::size_t countEvents(std::vector<Milliseconds> times)
 {
     std::sort(times.begin(), times.end());
-    std::size_t moments = 0;
+    std::size_t events = 0;
     Milliseconds last = LongAgo;
     for (const Milliseconds time : times) {
-        if (time - last < SameMoment)
+        if (time - last < SameEventPeriod)
             continue;
-        ++moments;
+        ++events;
         last = time;
     }
-    return moments;
+    return events;
 }
 
 }
@@ -71,54 +71,56 @@
 {
 }
 
-Milliseconds CrashTable::Entry::lastEnd() const
+Milliseconds CrashTable::Entry::lastCrash() const
 {
     Milliseconds last = LongAgo;
-    for (const ServerEnd& end : this->ends)
-        last = std::max(last, end.at);
+    for (const ServerEnd& crash : this->crashes)
+        last = std::max(last, crash.at);
     return last;
 }
 
-bool CrashTable::Entry::has(const ServerEnd& end) const
+bool CrashTable::Entry::hasCrash(const ServerEnd& crash) const
 {
-    return std::any_of(this->ends.begin(), this->ends.end(), [&](const ServerEnd& known) { return known.isSame(end); });
+    return std::any_of(
+        this->crashes.begin(), this->crashes.end(), [&](const ServerEnd& known) { return known.isSame(crash); });
 }
 
-void CrashTable::Entry::endsChanged()
+void CrashTable::Entry::updateCrashCount()
 {
-    this->servers = distinctOf(this->ends).size();
+    this->crashCount = distinctCrashes(this->crashes).size();
 }
 
-bool CrashTable::isCleared(const RequestDigest& digest, const ServerEnd& end) const
+bool CrashTable::isCleared(const RequestDigest& digest, const ServerEnd& crash) const
 {
     const auto known = this->answers.find(digest);
     if (known == this->answers.end())
         return false;
-    const auto answer = known->second.find(end.caller);
-    return answer != known->second.end() && end.at <= answer->second;
+    const auto answer = known->second.find(crash.caller);
+    return answer != known->second.end() && crash.at <= answer->second;
 }
 
-bool CrashTable::add(const RequestDigest& digest, const ServerEnd& end, Milliseconds now)
+bool CrashTable::add(const RequestDigest& digest, const ServerEnd& crash, Milliseconds now)
 {
-    if (!digest.isKnown() || this->isCleared(digest, end))
+    if (!digest.isKnown() || this->isCleared(digest, crash))
         return false;
     if (!this->entries.contains(digest))
-        this->makeRoom(now);
+        this->evictIfFull(now);
     Entry& entry = this->entries[digest];
-    const auto isKnown = [&](const ServerEnd& known) { return known.isSame(end) && known.caller == end.caller; };
-    if (std::any_of(entry.ends.begin(), entry.ends.end(), isKnown) || entry.ends.size() >= this->options.mostEnds)
+    const auto isKnown = [&](const ServerEnd& known) { return known.isSame(crash) && known.caller == crash.caller; };
+    if (std::any_of(entry.crashes.begin(), entry.crashes.end(), isKnown)
+        || entry.crashes.size() >= this->options.mostCrashes)
         return false;
-    entry.ends.push_back(end);
-    entry.endsChanged();
-    this->changed();
+    entry.crashes.push_back(crash);
+    entry.updateCrashCount();
+    this->invalidateEvaluations();
     return true;
 }
 
-bool CrashTable::addKept(const RequestDigest& digest, const ServerEnd& end, Milliseconds now)
+bool CrashTable::addKept(const RequestDigest& digest, const ServerEnd& crash, Milliseconds now)
 {
     const auto known = this->answers.find(digest);
-    const bool wasAnswered = known != this->answers.end() && known->second.contains(end.caller);
-    return !wasAnswered && this->add(digest, end, now);
+    const bool wasAnswered = known != this->answers.end() && known->second.contains(crash.caller);
+    return !wasAnswered && this->add(digest, crash, now);
 }
 
 bool CrashTable::answered(const RequestDigest& digest, std::uint64_t caller, Milliseconds at, Milliseconds now)
@@ -134,16 +136,16 @@
     if (found == this->entries.end())
         return false;
     Entry& entry = found->second;
-    const bool wasOpen = std::any_of(entry.ends.begin(), entry.ends.end(),
-        [&](const ServerEnd& end) { return end.at > entry.answeredAt && end.at <= at; });
+    const bool hadUnclearedCrash = std::any_of(entry.crashes.begin(), entry.crashes.end(),
+        [&](const ServerEnd& crash) { return crash.at > entry.answeredAt && crash.at <= at; });
     entry.answeredAt = std::max(entry.answeredAt, at);
-    const std::size_t dropped
-        = std::erase_if(entry.ends, [&](const ServerEnd& end) { return end.caller == caller && end.at <= at; });
-    entry.endsChanged();
-    if (entry.ends.empty())
+    const std::size_t dropped = std::erase_if(
+        entry.crashes, [&](const ServerEnd& crash) { return crash.caller == caller && crash.at <= at; });
+    entry.updateCrashCount();
+    if (entry.crashes.empty())
         this->entries.erase(found);
-    this->changed();
-    return dropped > 0 || wasOpen;
+    this->invalidateEvaluations();
+    return dropped > 0 || hadUnclearedCrash;
 }
 
 void CrashTable::tried(const RequestDigest& digest, Milliseconds now)
@@ -153,123 +155,124 @@
         found->second.triedAt = now;
 }
 
-Milliseconds CrashTable::keptUntil(const RequestDigest& digest, const Entry& entry) const
+Milliseconds CrashTable::expiresAt(const RequestDigest& digest, const Entry& entry) const
 {
-    const std::size_t counted = this->finding(digest, entry).counted;
+    const std::size_t counted = this->evaluation(digest, entry).counted;
     if (counted >= ServersThatProve)
-        return entry.lastEnd() + this->options.crashingKept;
-    return entry.lastEnd() + (counted > 1 ? this->options.suspectsKept : this->options.singlesKept);
+        return entry.lastCrash() + this->options.crashingKept;
+    return entry.lastCrash() + (counted > 1 ? this->options.suspectsKept : this->options.singleCrashKept);
 }
 
 void CrashTable::expire(Milliseconds now)
 {
-    std::vector<RequestDigest> over;
+    std::vector<RequestDigest> expired;
     for (const auto& [digest, entry] : this->entries) {
-        if (now >= this->keptUntil(digest, entry))
-            over.push_back(digest);
+        if (now >= this->expiresAt(digest, entry))
+            expired.push_back(digest);
     }
-    for (const RequestDigest& digest : over)
+    for (const RequestDigest& digest : expired)
         this->entries.erase(digest);
-    if (!over.empty())
-        this->changed();
+    if (!expired.empty())
+        this->invalidateEvaluations();
     for (auto& [digest, known] : this->answers)
         std::erase_if(known, [&](const auto& item) { return now - item.second >= this->options.answersKept; });
     std::erase_if(this->answers, [](const auto& item) { return item.second.empty(); });
 }
 
-void CrashTable::makeRoom(Milliseconds now)
+void CrashTable::evictIfFull(Milliseconds now)
 {
     if (this->entries.size() >= this->options.mostRequests)
         this->expire(now);
     if (this->entries.size() < this->options.mostRequests)
         return;
     // Evicts the request that is least likely to be the cause of crashes: fewest crashes, then the oldest last crash.
-    const auto rank = [](const Entry& entry) { return std::pair(entry.ends.size(), entry.lastEnd()); };
+    const auto rank = [](const Entry& entry) { return std::pair(entry.crashes.size(), entry.lastCrash()); };
     const auto least = std::min_element(this->entries.begin(), this->entries.end(),
         [&](const auto& left, const auto& right) { return rank(left.second) < rank(right.second); });
     this->entries.erase(least);
-    this->changed();
+    this->invalidateEvaluations();
 }
 
 std::span<const ServerEnd> CrashTable::ends(const RequestDigest& digest) const
 {
     const auto found = this->entries.find(digest);
-    return found == this->entries.end() ? std::span<const ServerEnd>() : found->second.ends;
+    return found == this->entries.end() ? std::span<const ServerEnd>() : found->second.crashes;
 }
 
-std::vector<ServerEnd> CrashTable::ofCaller(const Entry& entry, std::uint64_t caller)
+std::vector<ServerEnd> CrashTable::crashesOfCaller(const Entry& entry, std::uint64_t caller)
 {
     std::vector<ServerEnd> found;
-    std::copy_if(entry.ends.begin(), entry.ends.end(), std::back_inserter(found),
-        [caller](const ServerEnd& end) { return end.caller == caller; });
+    std::copy_if(entry.crashes.begin(), entry.crashes.end(), std::back_inserter(found),
+        [caller](const ServerEnd& crash) { return crash.caller == caller; });
     return found;
 }
 
-std::vector<ServerEnd> CrashTable::ofAll(const Entry& entry)
+std::vector<ServerEnd> CrashTable::crashesOfAllCallers(const Entry& entry)
 {
     std::vector<ServerEnd> found;
-    std::copy_if(entry.ends.begin(), entry.ends.end(), std::back_inserter(found),
-        [&](const ServerEnd& end) { return end.at > entry.answeredAt; });
+    std::copy_if(entry.crashes.begin(), entry.crashes.end(), std::back_inserter(found),
+        [&](const ServerEnd& crash) { return crash.at > entry.answeredAt; });
     if (callersOf(found) < 2)
         found.clear();
     return found;
 }
 
-bool CrashTable::isExplained(const RequestDigest& digest, const Entry& entry, const ServerEnd& end) const
+bool CrashTable::isExplainedByOther(const RequestDigest& digest, const Entry& entry, const ServerEnd& crash) const
 {
-    const std::size_t own = entry.servers;
+    const std::size_t own = entry.crashCount;
     return std::any_of(this->entries.begin(), this->entries.end(), [&](const auto& item) {
-        const std::size_t others = item.second.servers;
+        const std::size_t others = item.second.crashCount;
         // With three crashes each, the two requests cannot be told apart until the next crash.
-        const bool isHeavier = others > own || (others == own && own == ServersThatProve);
-        return others >= ServersThatProve && isHeavier && item.first != digest && item.second.has(end);
+        const bool hasMoreCrashes = others > own || (others == own && own == ServersThatProve);
+        return others >= ServersThatProve && hasMoreCrashes && item.first != digest && item.second.hasCrash(crash);
     });
 }
 
-std::size_t CrashTable::counted(const RequestDigest& digest, const Entry& entry, std::span<const ServerEnd> ends) const
+std::size_t CrashTable::countCrashes(
+    const RequestDigest& digest, const Entry& entry, std::span<const ServerEnd> crashes) const
 {
     std::vector<Milliseconds> unexplained;
     std::size_t explained = 0;
-    for (const ServerEnd& end : distinctOf(ends)) {
-        if (this->isExplained(digest, entry, end))
+    for (const ServerEnd& crash : distinctCrashes(crashes)) {
+        if (this->isExplainedByOther(digest, entry, crash))
             ++explained;
         else
-            unexplained.push_back(end.at);
+            unexplained.push_back(crash.at);
     }
     // Two requests that both crash servers may have met at several servers: explained crashes together count as one, so
     // that the overlap costs a request one further crash instead of several.
-    return momentsOf(std::move(unexplained)) + (explained > 1 ? 1 : 0);
+    return countEvents(std::move(unexplained)) + (explained > 1 ? 1 : 0);
 }
 
-CrashTable::Finding CrashTable::findingOf(const RequestDigest& digest, const Entry& entry) const
+CrashTable::Evaluation CrashTable::evaluate(const RequestDigest& digest, const Entry& entry) const
 {
     constexpr bool oneAddress = false;
-    const std::vector<ServerEnd> all = ofAll(entry);
-    Finding found{ .counted = this->counted(digest, entry, all),
-        .isCrashing = this->isProof(digest, entry, all, oneAddress) };
+    const std::vector<ServerEnd> all = crashesOfAllCallers(entry);
+    Evaluation found{ .counted = this->countCrashes(digest, entry, all),
+        .isCrashing = this->isConclusive(digest, entry, all, oneAddress) };
     std::set<std::uint64_t> callers;
-    for (const ServerEnd& end : entry.ends) {
-        if (!callers.insert(end.caller).second)
+    for (const ServerEnd& crash : entry.crashes) {
+        if (!callers.insert(crash.caller).second)
             continue;
-        const std::vector<ServerEnd> some = ofCaller(entry, end.caller);
-        found.counted = std::max(found.counted, this->counted(digest, entry, some));
-        found.isCrashing = found.isCrashing || this->isProof(digest, entry, some, oneAddress);
+        const std::vector<ServerEnd> byCaller = crashesOfCaller(entry, crash.caller);
+        found.counted = std::max(found.counted, this->countCrashes(digest, entry, byCaller));
+        found.isCrashing = found.isCrashing || this->isConclusive(digest, entry, byCaller, oneAddress);
     }
     return found;
 }
 
-const CrashTable::Finding& CrashTable::finding(const RequestDigest& digest, const Entry& entry) const
+const CrashTable::Evaluation& CrashTable::evaluation(const RequestDigest& digest, const Entry& entry) const
 {
-    const auto known = this->findings.find(digest);
-    if (known != this->findings.end())
+    const auto known = this->evaluations.find(digest);
+    if (known != this->evaluations.end())
         return known->second;
-    return this->findings.emplace(digest, this->findingOf(digest, entry)).first->second;
+    return this->evaluations.emplace(digest, this->evaluate(digest, entry)).first->second;
 }
 
 std::size_t CrashTable::countedEnds(const RequestDigest& digest) const
 {
     const auto found = this->entries.find(digest);
-    return found == this->entries.end() ? 0 : this->finding(digest, found->second).counted;
+    return found == this->entries.end() ? 0 : this->evaluation(digest, found->second).counted;
 }
 
 std::size_t CrashTable::countedEnds(const CallersRequest& request) const
@@ -278,24 +281,24 @@
     if (found == this->entries.end())
         return 0;
     const Entry& entry = found->second;
-    return std::max(this->counted(request.digest, entry, ofAll(entry)),
-        this->counted(request.digest, entry, ofCaller(entry, request.caller)));
+    return std::max(this->countCrashes(request.digest, entry, crashesOfAllCallers(entry)),
+        this->countCrashes(request.digest, entry, crashesOfCaller(entry, request.caller)));
 }
 
-bool CrashTable::isProof(
-    const RequestDigest& digest, const Entry& entry, std::span<const ServerEnd> ends, bool oneAddress) const
+bool CrashTable::isConclusive(
+    const RequestDigest& digest, const Entry& entry, std::span<const ServerEnd> crashes, bool oneAddress) const
 {
-    if (ends.size() < ServersThatProve)
+    if (crashes.size() < ServersThatProve)
         return false;
     // Repeated crashes of a single server are no evidence against the requests there.
-    const bool isElsewhereToo = oneAddress || addressesOf(ends) > 1;
-    return isElsewhereToo && this->counted(digest, entry, ends) >= ServersThatProve;
+    const bool hasEnoughAddresses = oneAddress || addressesOf(crashes) > 1;
+    return hasEnoughAddresses && this->countCrashes(digest, entry, crashes) >= ServersThatProve;
 }
 
 bool CrashTable::isCrashing(const RequestDigest& digest) const
 {
     const auto found = this->entries.find(digest);
-    return found != this->entries.end() && this->finding(digest, found->second).isCrashing;
+    return found != this->entries.end() && this->evaluation(digest, found->second).isCrashing;
 }
 
 bool CrashTable::isRefused(const CallersRequest& request, Milliseconds now) const
@@ -304,20 +307,21 @@
     if (found == this->entries.end() || now >= this->refusedUntil(request.digest, found->second))
         return false;
     const Entry& entry = found->second;
-    if (!request.hasOneAddress && !this->finding(request.digest, entry).isCrashing)
+    if (!request.hasOneAddress && !this->evaluation(request.digest, entry).isCrashing)
         return false;
-    return this->isProof(request.digest, entry, ofCaller(entry, request.caller), request.hasOneAddress)
-        || this->isProof(request.digest, entry, ofAll(entry), request.hasOneAddress);
+    return this->isConclusive(request.digest, entry, crashesOfCaller(entry, request.caller), request.hasOneAddress)
+        || this->isConclusive(request.digest, entry, crashesOfAllCallers(entry), request.hasOneAddress);
 }
 
 Milliseconds CrashTable::refusedUntil(const RequestDigest& digest, const Entry& entry) const
 {
-    const std::size_t further = std::max(entry.servers, ServersThatProve) - ServersThatProve;
-    const double longer = std::pow(this->options.growth, static_cast<double>(further));
-    const Milliseconds span = std::min(this->options.firstRefusal * longer, this->options.longestRefusal);
+    const std::size_t furtherCrashes = std::max(entry.crashCount, ServersThatProve) - ServersThatProve;
+    const double factor = std::pow(this->options.refusalGrowth, static_cast<double>(furtherCrashes));
+    const Milliseconds period = std::min(this->options.firstRefusal * factor, this->options.longestRefusal);
     const std::uint64_t draw = hashOf(this->options.instance, digest.low);
     const double unit = static_cast<double>(draw) / static_cast<double>(std::numeric_limits<std::uint64_t>::max());
-    return std::max(entry.lastEnd() + span * (1 + this->options.spread * unit), entry.triedAt + this->options.tryGap);
+    return std::max(entry.lastCrash() + period * (1 + this->options.refusalSpread * unit),
+        entry.triedAt + this->options.minTryInterval);
 }
 
 Milliseconds CrashTable::refusedUntil(const RequestDigest& digest) const
@@ -329,11 +333,11 @@
 std::uint32_t CrashTable::nextOrdinal(const RequestDigest& digest, std::uint64_t server, Milliseconds at) const
 {
     std::uint32_t next = 1;
-    for (const ServerEnd& end : this->ends(digest)) {
-        if (end.server != server)
+    for (const ServerEnd& crash : this->ends(digest)) {
+        if (crash.server != server)
             continue;
-        const bool isThisOne = at - end.at < SameEnd;
-        next = std::max(next, isThisOne ? end.ordinal : end.ordinal + 1);
+        const bool isSameCrash = at - crash.at < SameCrashPeriod;
+        next = std::max(next, isSameCrash ? crash.ordinal : crash.ordinal + 1);
     }
     return next;
 }
@@ -361,7 +365,7 @@
 {
     std::vector<RequestDigest> found;
     for (const auto& [digest, entry] : this->entries) {
-        if (!least || this->finding(digest, entry).counted >= least)
+        if (!least || this->evaluation(digest, entry).counted >= least)
             found.push_back(digest);
     }
     std::sort(found.begin(), found.end());
--- a/Source/Crashes/CrashTable.h
+++ b/Source/Crashes/CrashTable.h
@@ -50,23 +50,24 @@
     struct Options {
         std::string instance; // name of this instance; spreads the times of tries over the instances
         std::size_t mostRequests = 512; // about 600 KB with 16 crashes each
-        std::size_t mostEnds = 16; // crashes kept of one request; more would not change the result
+        std::size_t mostCrashes = 16; // crashes kept of one request; more would not change the result
         /** How long a request with a single crash is kept: callers that retry do so within seconds. */
-        Milliseconds singlesKept{ 60000 };
+        Milliseconds singleCrashKept{ 60000 };
         Milliseconds suspectsKept{ 600000 }; // the same for a request with two crashes
         Milliseconds crashingKept{ 86400000 }; // the same for a request with three or more crashes
         /**
          * How long a request is refused after the last crash, before it is tried at one server again. Each further
-         * crash multiplies the time by `growth`. So a request that was found by mistake is served again after 10 to 20
-         * s, and one that does crash servers is tried only three more times within a day: after 10 s, 5 minutes and 2.5
-         * hours.
+         * crash multiplies the time by `refusalGrowth`. So a request that was found by mistake is served again after 10
+         * to 20 s, and one that does crash servers is tried only three more times within a day: after 10 s, 5 minutes
+         * and 2.5 hours.
          */
         Milliseconds firstRefusal{ 10000 };
-        double growth = 30;
+        double refusalGrowth = 30;
         Milliseconds longestRefusal{ 86400000 };
-        double spread = 1; // random share added to the time, by instance: the first one to try informs the others
+        double refusalSpread
+            = 1; // random share added to the time, by instance: the first one to try informs the others
         /** Minimum time between two tries by this instance, for when a try shows neither an answer nor a crash. */
-        Milliseconds tryGap{ 5000 };
+        Milliseconds minTryInterval{ 5000 };
         /** How long an answer is kept: other instances may still send older crashes of the request for this long. */
         Milliseconds answersKept{ 60000 };
     };
@@ -77,9 +78,9 @@
     explicit CrashTable(Options options);
 
     /** Records a crash; true when it was not known. */
-    bool add(const RequestDigest& digest, const ServerEnd& end, Milliseconds now);
+    bool add(const RequestDigest& digest, const ServerEnd& crash, Milliseconds now);
     /** The same for a record without exact times; ignored if the request of this caller was answered recently. */
-    bool addKept(const RequestDigest& digest, const ServerEnd& end, Milliseconds now);
+    bool addKept(const RequestDigest& digest, const ServerEnd& crash, Milliseconds now);
     /** A server answered the request: older crashes no longer count. True when this changed anything. */
     bool answered(const RequestDigest& digest, std::uint64_t caller, Milliseconds at, Milliseconds now);
     /** The request is sent to a server although it was found to crash servers. */
@@ -117,44 +118,44 @@
 
 private:
     struct Entry {
-        std::vector<ServerEnd> ends; // in order of arrival
+        std::vector<ServerEnd> crashes; // in order of arrival
         Milliseconds answeredAt = LongAgo; // last answer to any caller
         Milliseconds triedAt = LongAgo;
 
-        std::size_t servers = 0; // distinct crashes; the requests of several callers may have been at the same one
+        std::size_t crashCount = 0; // distinct crashes; the requests of several callers may have been at the same one
 
-        Milliseconds lastEnd() const;
-        bool has(const ServerEnd& end) const;
-        void endsChanged();
+        Milliseconds lastCrash() const;
+        bool hasCrash(const ServerEnd& crash) const;
+        void updateCrashCount();
     };
 
     /** The evaluation of the crashes of a request. */
-    struct Finding {
+    struct Evaluation {
         std::size_t counted = 0;
         bool isCrashing = false;
     };
     using Answers = std::map<std::uint64_t, Milliseconds>; // time of the latest answer, by caller
 
-    static std::vector<ServerEnd> ofCaller(const Entry& entry, std::uint64_t caller);
+    static std::vector<ServerEnd> crashesOfCaller(const Entry& entry, std::uint64_t caller);
     /** Crashes that count for every caller: those since the last answer, if they come from several callers. */
-    static std::vector<ServerEnd> ofAll(const Entry& entry);
-    bool isExplained(const RequestDigest& digest, const Entry& entry, const ServerEnd& end) const;
-    std::size_t counted(const RequestDigest& digest, const Entry& entry, std::span<const ServerEnd> ends) const;
-    bool isProof(
-        const RequestDigest& digest, const Entry& entry, std::span<const ServerEnd> ends, bool oneAddress) const;
-    Finding findingOf(const RequestDigest& digest, const Entry& entry) const;
+    static std::vector<ServerEnd> crashesOfAllCallers(const Entry& entry);
+    bool isExplainedByOther(const RequestDigest& digest, const Entry& entry, const ServerEnd& crash) const;
+    std::size_t countCrashes(const RequestDigest& digest, const Entry& entry, std::span<const ServerEnd> crashes) const;
+    bool isConclusive(
+        const RequestDigest& digest, const Entry& entry, std::span<const ServerEnd> crashes, bool oneAddress) const;
+    Evaluation evaluate(const RequestDigest& digest, const Entry& entry) const;
     /** The same, cached until something changes: the evaluation takes some microseconds for each pair of requests. */
-    const Finding& finding(const RequestDigest& digest, const Entry& entry) const;
-    void changed() { this->findings.clear(); }
-    Milliseconds keptUntil(const RequestDigest& digest, const Entry& entry) const;
+    const Evaluation& evaluation(const RequestDigest& digest, const Entry& entry) const;
+    void invalidateEvaluations() { this->evaluations.clear(); }
+    Milliseconds expiresAt(const RequestDigest& digest, const Entry& entry) const;
     Milliseconds refusedUntil(const RequestDigest& digest, const Entry& entry) const;
-    bool isCleared(const RequestDigest& digest, const ServerEnd& end) const;
-    void makeRoom(Milliseconds now);
+    bool isCleared(const RequestDigest& digest, const ServerEnd& crash) const;
+    void evictIfFull(Milliseconds now);
 
     Options options;
     std::unordered_map<RequestDigest, Entry, RequestDigestHash> entries;
     std::unordered_map<RequestDigest, Answers, RequestDigestHash> answers; // recent ones
-    mutable std::unordered_map<RequestDigest, Finding, RequestDigestHash> findings; // cache
+    mutable std::unordered_map<RequestDigest, Evaluation, RequestDigestHash> evaluations; // cache
 };
 
 }
--- a/Source/Limits/LimitBook.cpp
+++ b/Source/Limits/LimitBook.cpp
@@ -12,21 +12,21 @@
 LimitChange LimitBook::heard(
     const std::string& backendServer, std::uint64_t life, double perSecond, Milliseconds sentAt, Milliseconds now)
 {
-    return this->take(backendServer, { .life = life, .perSecond = perSecond, .at = now, .isHeardHere = true }, sentAt);
+    return this->apply(backendServer, { .life = life, .perSecond = perSecond, .at = now, .isHeardHere = true }, sentAt);
 }
 
 LimitChange LimitBook::answered(const std::string& backendServer, std::uint64_t life, Milliseconds sentAt)
 {
-    return this->take(
+    return this->apply(
         backendServer, { .life = life, .perSecond = std::nullopt, .at = sentAt, .isHeardHere = true }, sentAt);
 }
 
 LimitChange LimitBook::told(const std::string& backendServer, const LimitStatement& statement)
 {
-    return this->take(backendServer, statement, statement.at - this->options.toldMargin);
+    return this->apply(backendServer, statement, statement.at - this->options.maxMessageDelay);
 }
 
-LimitChange LimitBook::take(const std::string& backendServer, const LimitStatement& next, Milliseconds validFrom)
+LimitChange LimitBook::apply(const std::string& backendServer, const LimitStatement& next, Milliseconds validFrom)
 {
     const auto found = this->statements.find(backendServer);
     const bool isKnown = found != this->statements.end();
@@ -64,8 +64,9 @@
 
 void LimitBook::tick(Milliseconds now)
 {
-    std::erase_if(this->statements,
-        [&](const auto& item) { return !item.second.perSecond && now - item.second.at > this->options.endKept; });
+    std::erase_if(this->statements, [&](const auto& item) {
+        return !item.second.perSecond && now - item.second.at > this->options.endedLimitKept;
+    });
 }
 
 const LimitStatement* LimitBook::find(std::string_view backendServer, std::uint64_t life) const
--- a/Source/Limits/LimitBook.h
+++ b/Source/Limits/LimitBook.h
@@ -39,9 +39,9 @@
         /** The server with the oldest report is dropped first. About 1 MB. */
         std::size_t mostServers = 8192;
         /** Reports from other instances appear newer here by the time that the message took; this bounds that time. */
-        Milliseconds toldMargin{ 100 };
+        Milliseconds maxMessageDelay{ 100 };
         /** The end of a limit is kept for this long, so that it can be sent to other instances. */
-        Milliseconds endKept{ 10000 };
+        Milliseconds endedLimitKept{ 10000 };
     };
 
     explicit LimitBook(Options options);
@@ -68,7 +68,7 @@
     const std::map<std::string, LimitStatement, std::less<>>& all() const { return this->statements; }
 
 private:
-    LimitChange take(const std::string& backendServer, const LimitStatement& next, Milliseconds validFrom);
+    LimitChange apply(const std::string& backendServer, const LimitStatement& next, Milliseconds validFrom);
     void forgetOldest();
 
     Options options;
--- a/Source/Limits/PermitSchedule.h
+++ b/Source/Limits/PermitSchedule.h
@@ -35,15 +35,15 @@
     Grant grant(const Wish& wish, Milliseconds now);
 
 private:
-    struct Account {
+    struct ServerState {
         std::uint64_t life = 0;
         Milliseconds latest = LongAgo; // when the last granted permit becomes or became valid
         SlidingCount denied{ Second };
     };
 
-    void forgetOld(Milliseconds now);
+    void dropOld(Milliseconds now);
 
-    std::unordered_map<std::string, Account> accounts; // by backend server
+    std::unordered_map<std::string, ServerState> servers; // by backend server
 };
 
 }
--- a/Source/Measurement/ProbeDesk.cpp
+++ b/Source/Measurement/ProbeDesk.cpp
@@ -40,7 +40,7 @@
     this->dataCentres = std::max<std::size_t>(dataCentreCount, 1);
 }
 
-double ProbeDesk::partOf(const BackendServerState& server, double share) const
+double ProbeDesk::shareFor(const BackendServerState& server, double share) const
 {
     const double budget = this->options.fleetPerSecond * share;
     const auto all = static_cast<double>(std::max(this->instances, FewestInstances));
@@ -50,9 +50,9 @@
     return budget * this->options.farShare / std::max(1.0, all - near);
 }
 
-bool ProbeDesk::takeAllowance(const BackendServerState& server, double share, Milliseconds now)
+bool ProbeDesk::takeFromBudget(const BackendServerState& server, double share, Milliseconds now)
 {
-    const double part = this->partOf(server, share);
+    const double part = this->shareFor(server, share);
     if (part <= 0)
         return false;
     return this->budget.take(server.id(), { .perSecond = part, .window = windowFor(part) }, *this->random, now);
@@ -61,17 +61,17 @@
 void ProbeDesk::forget(const std::string& backendServer)
 {
     this->budget.forget(backendServer);
-    this->underWay.erase(backendServer);
+    this->inFlight.erase(backendServer);
 }
 
 std::optional<Probe> ProbeDesk::start(
     const std::shared_ptr<BackendServerState>& server, const std::string& path, double share, Milliseconds now)
 {
-    if (path.empty() || this->isUnderWay(server->id()) || !this->takeAllowance(*server, share, now))
+    if (path.empty() || this->isInFlight(server->id()) || !this->takeFromBudget(*server, share, now))
         return std::nullopt;
-    const ProbeNumber number = ++this->last;
-    this->underWay[server->id()] = number;
-    this->asked[number] = server;
+    const ProbeNumber number = ++this->lastNumber;
+    this->inFlight[server->id()] = number;
+    this->serversByProbe[number] = server;
     return Probe{ .number = number,
         .backendServer = server->id(),
         .life = server->record().life,
@@ -82,14 +82,14 @@
 
 std::shared_ptr<BackendServerState> ProbeDesk::ended(ProbeNumber number)
 {
-    const auto found = this->asked.find(number);
-    if (found == this->asked.end())
+    const auto found = this->serversByProbe.find(number);
+    if (found == this->serversByProbe.end())
         return nullptr;
     std::shared_ptr<BackendServerState> server = found->second;
-    this->asked.erase(found);
-    const auto latest = this->underWay.find(server->id());
-    if (latest != this->underWay.end() && latest->second == number)
-        this->underWay.erase(latest);
+    this->serversByProbe.erase(found);
+    const auto latest = this->inFlight.find(server->id());
+    if (latest != this->inFlight.end() && latest->second == number)
+        this->inFlight.erase(latest);
     return server;
 }
 
--- a/Source/Measurement/ProbeDesk.h
+++ b/Source/Measurement/ProbeDesk.h
@@ -66,7 +66,7 @@
      */
     std::optional<Probe> start(
         const std::shared_ptr<BackendServerState>& server, const std::string& path, double share, Milliseconds now);
-    bool isUnderWay(const std::string& backendServer) const { return this->underWay.contains(backendServer); }
+    bool isInFlight(const std::string& backendServer) const { return this->inFlight.contains(backendServer); }
     /** Ends a probe and returns the server that it was sent to; null when the probe is not known. */
     std::shared_ptr<BackendServerState> ended(ProbeNumber number);
     /** The server is gone or has restarted: no answer is awaited any more. */
@@ -74,17 +74,17 @@
 
 private:
     /** This instance's share of the budget for the server, in probes a second. */
-    double partOf(const BackendServerState& server, double share) const;
-    bool takeAllowance(const BackendServerState& server, double share, Milliseconds now);
+    double shareFor(const BackendServerState& server, double share) const;
+    bool takeFromBudget(const BackendServerState& server, double share, Milliseconds now);
 
     Options options;
     Random* random;
     std::size_t instances = 1;
     std::size_t dataCentres = 1;
-    ProbeNumber last = 0;
+    ProbeNumber lastNumber = 0;
     DealtBudget budget;
-    std::unordered_map<std::string, ProbeNumber> underWay;
-    std::unordered_map<ProbeNumber, std::shared_ptr<BackendServerState>> asked;
+    std::unordered_map<std::string, ProbeNumber> inFlight;
+    std::unordered_map<ProbeNumber, std::shared_ptr<BackendServerState>> serversByProbe;
 };
 
 }
--- a/Source/Measurement/ServerSearch.cpp
+++ b/Source/Measurement/ServerSearch.cpp
@@ -13,7 +13,7 @@
 /** When work at a server takes at most this many times as long as usual, no further answers are awaited. */
 constexpr double GoodWorkFactor = 1.25;
 /** The same for the share of slots in use after one more request: one of two, two of three, four of six. */
-constexpr double GoodUse = 0.67;
+constexpr double GoodSlotUse = 0.67;
 /** Requests are never held back when work takes less than this many times as long: the usual time is a mean. */
 constexpr double UsualWorkFactor = 1.5;
 
@@ -25,36 +25,36 @@
 {
 }
 
-RequestSearch ServerSearch::begin(const Beginning& beginning, Milliseconds now) const
+RequestSearch ServerSearch::begin(const SearchInput& input, Milliseconds now) const
 {
     RequestSearch search;
     search.arrivedAt = now;
-    search.inTimeUntil = now + beginning.target - beginning.spent;
-    search.usualTime = beginning.usualTime;
+    search.inTimeUntil = now + input.target - input.spent;
+    search.usualTime = input.usualTime;
     // Applies to late callers as well: at a slow server their requests would occupy a slot for several times as long.
-    search.holdUntil = now + beginning.target * this->options.holdShare;
+    search.holdUntil = now + input.target * this->options.holdShare;
     return search;
 }
 
 bool ServerSearch::ask(RequestSearch& search, const ServiceDescription& service, const ServicePool& pool,
-    const RoutingContext& context, std::vector<Probe>& questions) const
+    const RoutingContext& context, std::vector<Probe>& probes) const
 {
     if (search.rounds >= this->options.mostRounds)
         return false;
     unsigned known = 0;
-    for (const auto& server : pool.worthKnowing(this->options.askedAmong, context, *this->parts.random)) {
+    for (const auto& server : pool.probeCandidates(this->options.candidatesPerRound, context, *this->parts.random)) {
         if (known == this->options.askedAtOnce)
             break;
         const Milliseconds age = context.now - server->report().at;
-        const bool isFresh = age <= this->options.figuresFreshFor;
-        if (isFresh || this->askOne(server, search, service, context.now, questions)
-            || age <= this->options.figuresTellFor)
+        const bool isFresh = age <= this->options.reportFreshFor;
+        if (isFresh || this->probeServer(server, search, service, context.now, probes)
+            || age <= this->options.reportUsableFor)
             ++known;
     }
     if (search.asked.empty())
         return false;
     ++search.rounds;
-    search.askUntil = context.now + this->options.longestAsking;
+    search.askUntil = context.now + this->options.maxRoundTime;
     return true;
 }
 
@@ -63,14 +63,14 @@
     return search.rounds < this->options.mostRounds && now < search.holdUntil;
 }
 
-bool ServerSearch::askOne(const std::shared_ptr<BackendServerState>& server, RequestSearch& search,
-    const ServiceDescription& service, Milliseconds now, std::vector<Probe>& questions) const
+bool ServerSearch::probeServer(const std::shared_ptr<BackendServerState>& server, RequestSearch& search,
+    const ServiceDescription& service, Milliseconds now, std::vector<Probe>& probes) const
 {
     auto probe = this->parts.probes->start(server, service.probePath, service.probeShare, now);
     if (probe) {
         this->parts.counters->add(DecisionCount::ProbesSent);
-        questions.push_back(std::move(*probe));
-    } else if (!this->parts.probes->isUnderWay(server->id())) {
+        probes.push_back(std::move(*probe));
+    } else if (!this->parts.probes->isInFlight(server->id())) {
         this->parts.counters->add(DecisionCount::ProbesDenied);
         return false;
     }
@@ -91,7 +91,7 @@
     const bool isNear = server.record().dataCentre == this->options.dataCentre;
     const bool isTaker = server.takesNewRequests() && !server.isEjected(now) && !server.isOnTrial();
     return isNear && isTaker && !server.isCold(now) && load.workFactor <= GoodWorkFactor
-        && (load.requests + 1) <= GoodUse * server.slots() && server.failureShare(now) == 0
+        && (load.requests + 1) <= GoodSlotUse * server.slots() && server.failureShare(now) == 0
         && server.report().at >= search.arrivedAt;
 }
 
--- a/Source/Measurement/ServerSearch.h
+++ b/Source/Measurement/ServerSearch.h
@@ -39,11 +39,12 @@
 public:
     struct Options {
         unsigned askedAtOnce = 6; // servers whose reports should be fresh before a choice
-        std::size_t askedAmong = 24; // best servers considered for a round; one that may not be probed is skipped
+        std::size_t candidatesPerRound
+            = 24; // best servers considered for a round; one that may not be probed is skipped
         unsigned mostRounds = 6; // of probes for one request
-        Milliseconds figuresFreshFor{ 25 }; // a server with a younger report is not probed again
-        Milliseconds figuresTellFor{ 100 }; // a server that may not be probed is replaced only if its report is older
-        Milliseconds longestAsking{ 14 }; // duration of a round
+        Milliseconds reportFreshFor{ 25 }; // a server with a younger report is not probed again
+        Milliseconds reportUsableFor{ 100 }; // a server that may not be probed is replaced only if its report is older
+        Milliseconds maxRoundTime{ 14 }; // duration of a round
         double holdShare = 0.35; // of the target latency that a request may be held back
         std::string dataCentre; // of this instance
     };
@@ -56,7 +57,7 @@
     };
 
     /** Input for a new search. */
-    struct Beginning {
+    struct SearchInput {
         Milliseconds target; // target latency of the route
         Milliseconds spent; // time that the caller has spent before this request
         Milliseconds usualTime;
@@ -64,10 +65,10 @@
 
     ServerSearch(Options options, Parts parts);
 
-    RequestSearch begin(const Beginning& beginning, Milliseconds now) const;
-    /** Starts a round and appends its probes to `questions`; false when there is nothing to wait for. */
+    RequestSearch begin(const SearchInput& input, Milliseconds now) const;
+    /** Starts a round and appends its probes to `probes`; false when there is nothing to wait for. */
     bool ask(RequestSearch& search, const ServiceDescription& service, const ServicePool& pool,
-        const RoutingContext& context, std::vector<Probe>& questions) const;
+        const RoutingContext& context, std::vector<Probe>& probes) const;
     /** True while another round of probes may start and find a better server than one without a recent report. */
     bool mayAsk(const RequestSearch& search, Milliseconds now) const;
     /** A probed server has answered or failed to answer: true when a server should be chosen for the request now. */
@@ -82,8 +83,8 @@
 
 private:
     /** Probes a server, or awaits the probe in flight to it; false when the budget does not allow a probe. */
-    bool askOne(const std::shared_ptr<BackendServerState>& server, RequestSearch& search,
-        const ServiceDescription& service, Milliseconds now, std::vector<Probe>& questions) const;
+    bool probeServer(const std::shared_ptr<BackendServerState>& server, RequestSearch& search,
+        const ServiceDescription& service, Milliseconds now, std::vector<Probe>& probes) const;
     bool isGoodEnough(const BackendServerState& server, const RequestSearch& search, Milliseconds now) const;
 
     Options options;
--- a/Source/Routing/BackendServerState.cpp
+++ b/Source/Routing/BackendServerState.cpp
@@ -8,34 +8,34 @@
 namespace {
 
 /** A backend server gets no requests for this long after a refusal; doubled with each consecutive refusal. */
-constexpr Milliseconds FirstRest{ 10 };
+constexpr Milliseconds FirstRefusalBackoff{ 10 };
 constexpr unsigned MostDoublings = 5;
 constexpr double SampleShare = 0.15;
 /** Time constant with which estimates decay while no new samples arrive. */
-constexpr Milliseconds Forgiven{ 3000 };
+constexpr Milliseconds EstimateDecayTime{ 3000 };
 constexpr double HighestSlowness = 20;
 /** A load report of at most this age describes the load that an attempt meets at the server. */
-constexpr Milliseconds FreshFigures{ 30 };
+constexpr Milliseconds FreshReportAge{ 30 };
 /**
  * A request that was sent longer ago than this has reached the server. If it were answered, the answer would have
  * arrived by now, or nearly so.
  */
-constexpr Milliseconds OnTheWay{ 25 };
+constexpr Milliseconds MaxTransitTime{ 25 };
 /** Load reports of a server are ignored for this long after one that contradicts the requests in flight. */
-constexpr Milliseconds Distrust{ 1000 };
+constexpr Milliseconds DistrustPeriod{ 1000 };
 constexpr double UsualPercent = 100;
 /** Work that takes up to this percentage of the usual time is not slow. */
-constexpr std::uint32_t WellPercent = 125;
+constexpr std::uint32_t UsualSpeedPercent = 125;
 
 /** How many times longer than usual work takes, as the server reported it with this answer. */
-double toldFactor(const AttemptEnd& end)
+double reportedSlowdown(const AttemptEnd& end)
 {
     return end.load ? std::max(1.0, end.load->workPercent / UsualPercent) : 1;
 }
 
-double kept(Milliseconds since, Milliseconds now)
+double remainingWeight(Milliseconds since, Milliseconds now)
 {
-    return std::exp(-std::max(0.0, (now - since).count) / Forgiven.count);
+    return std::exp(-std::max(0.0, (now - since).count) / EstimateDecayTime.count);
 }
 
 }
@@ -49,18 +49,18 @@
 {
     // A record without a cold time ends only a cold time that came from an earlier record, not one that the server
     // reported itself.
-    const bool isToldWarm = this->description.coldRemaining.count > 0;
+    const bool hadColdRecord = this->description.coldRemaining.count > 0;
     this->description = record;
     if (record.coldRemaining.count > 0)
         this->coldUntil = now + record.coldRemaining;
-    else if (isToldWarm)
+    else if (hadColdRecord)
         this->coldUntil = LongAgo;
 }
 
 double BackendServerState::slots() const
 {
-    const std::uint32_t told = this->lastReport.figures.slots;
-    return static_cast<double>(std::max<std::size_t>(1, told ? told : this->description.slots));
+    const std::uint32_t reportedSlots = this->lastReport.figures.slots;
+    return static_cast<double>(std::max<std::size_t>(1, reportedSlots ? reportedSlots : this->description.slots));
 }
 
 bool BackendServerState::takesNewRequests() const
@@ -71,71 +71,72 @@
 void BackendServerState::sent(AttemptNumber attempt, Milliseconds now)
 {
     const double use = (static_cast<double>(this->inFlight()) + this->lastReport.others + 1) / this->slots();
-    const bool isFresh = now - this->lastReport.at <= FreshFigures;
+    const bool isFresh = now - this->lastReport.at <= FreshReportAge;
     this->flights.push_back({ .attempt = attempt,
         .sentAt = now,
-        .crowd = std::max(1.0, use),
-        .use = isFresh ? use : 0,
+        .requestsPerSlot = std::max(1.0, use),
+        .slotUse = isFresh ? use : 0,
         .permit = this->sendPermits.take(now) });
 }
 
-EndedFlight BackendServerState::ended(
+FinishedAttempt BackendServerState::ended(
     AttemptNumber attempt, const AttemptEnd& end, Milliseconds expected, Milliseconds now)
 {
-    const auto flight = std::find_if(
-        this->flights.begin(), this->flights.end(), [attempt](const Flight& item) { return item.attempt == attempt; });
+    const auto flight = std::find_if(this->flights.begin(), this->flights.end(),
+        [attempt](const InFlightAttempt& item) { return item.attempt == attempt; });
     if (flight == this->flights.end())
         return {};
-    const Flight ended = *flight;
+    const InFlightAttempt ended = *flight;
     this->flights.erase(flight);
     if (ended.permit && end.result == AttemptResult::NotSent)
         this->sendPermits.give(*ended.permit);
     if (end.load)
         this->reported(*end.load, now);
-    this->learn(end, ended, expected, now);
+    this->updateEstimates(end, ended, expected, now);
     if (end.result != AttemptResult::Answered || expected.count <= 0)
         return {};
-    return { .time = (now - ended.sentAt) / expected / toldFactor(end), .use = ended.use };
+    return { .relativeTime = (now - ended.sentAt) / expected / reportedSlowdown(end), .slotUse = ended.slotUse };
 }
 
-void BackendServerState::learn(const AttemptEnd& end, const Flight& flight, Milliseconds expected, Milliseconds now)
+void BackendServerState::updateEstimates(
+    const AttemptEnd& end, const InFlightAttempt& flight, Milliseconds expected, Milliseconds now)
 {
     switch (end.result) {
     case AttemptResult::Answered:
-        this->succeeded(flight, now);
-        this->learnSlowness(end, flight, expected, now);
+        this->recordSuccess(flight, now);
+        this->updateSlowness(end, flight, expected, now);
         break;
     case AttemptResult::RefusedNotRun:
-        this->refused(now);
+        this->recordRefusal(now);
         break;
     case AttemptResult::OtherServer:
         this->markReplaced();
         break;
     case AttemptResult::TimedOut:
-        this->learnSlowness(end, flight, expected, now);
-        this->failed(now);
+        this->updateSlowness(end, flight, expected, now);
+        this->recordFailure(now);
         break;
     case AttemptResult::NotSent:
         // During a pause, or right after the server reported a limit, this instance itself held the request back.
         if (!this->isPaused(now) && (flight.permit || !this->sendPermits.isLimited()))
-            this->failed(now);
+            this->recordFailure(now);
         break;
     case AttemptResult::ErrorAnswer:
     case AttemptResult::Broken:
-        this->failed(now);
+        this->recordFailure(now);
         break;
     case AttemptResult::Cancelled:
         break;
     }
 }
 
-void BackendServerState::learnSlowness(
-    const AttemptEnd& end, const Flight& flight, Milliseconds expected, Milliseconds now)
+void BackendServerState::updateSlowness(
+    const AttemptEnd& end, const InFlightAttempt& flight, Milliseconds expected, Milliseconds now)
 {
     if (expected.count <= 0)
         return;
     // The slowdown that the server reports is temporary and is accounted for separately.
-    const double sample = (now - flight.sentAt) / expected / flight.crowd / toldFactor(end);
+    const double sample = (now - flight.sentAt) / expected / flight.requestsPerSlot / reportedSlowdown(end);
     const double before = this->slowness(now);
     this->slownessEstimate = std::min(HighestSlowness, before + (sample - before) * SampleShare);
     this->slownessAt = now;
@@ -143,15 +144,15 @@
 
 double BackendServerState::slowness(Milliseconds now) const
 {
-    return 1 + (this->slownessEstimate - 1) * kept(this->slownessAt, now);
+    return 1 + (this->slownessEstimate - 1) * remainingWeight(this->slownessAt, now);
 }
 
 double BackendServerState::failureShare(Milliseconds now) const
 {
-    return this->failureEstimate * kept(this->failureAt, now);
+    return this->failureEstimate * remainingWeight(this->failureAt, now);
 }
 
-void BackendServerState::noteOutcome(double failure, Milliseconds now)
+void BackendServerState::addOutcome(double failure, Milliseconds now)
 {
     const double before = this->failureShare(now);
     this->failureEstimate = before + (failure - before) * SampleShare;
@@ -164,7 +165,7 @@
     this->allowedAfterPause = 1;
 }
 
-void BackendServerState::answeredAfterPause(const Flight& flight)
+void BackendServerState::rampUpAfterPause(const InFlightAttempt& flight)
 {
     // Answers to requests sent before the end of the pause do not show how the server copes after it.
     if (!this->allowedAfterPause || flight.sentAt < this->pauseEnd)
@@ -174,35 +175,35 @@
         this->allowedAfterPause = 0;
 }
 
-void BackendServerState::succeeded(const Flight& flight, Milliseconds now)
+void BackendServerState::recordSuccess(const InFlightAttempt& flight, Milliseconds now)
 {
-    this->answeredAfterPause(flight);
+    this->rampUpAfterPause(flight);
     this->failures = 0;
     this->refusals = 0;
     this->ejectionCount = 0;
-    this->noteOutcome(0, now);
+    this->addOutcome(0, now);
 }
 
-void BackendServerState::failed(Milliseconds now)
+void BackendServerState::recordFailure(Milliseconds now)
 {
     ++this->failures;
-    this->noteOutcome(1, now);
+    this->addOutcome(1, now);
 }
 
-void BackendServerState::refused(Milliseconds now)
+void BackendServerState::recordRefusal(Milliseconds now)
 {
     // A full backend server is healthy, but its quick refusals must not attract all requests.
     const double doubling = std::exp2(static_cast<double>(std::min(this->refusals++, MostDoublings)));
-    this->restingUntil = now + FirstRest * doubling;
+    this->backoffUntil = now + FirstRefusalBackoff * doubling;
 }
 
 void BackendServerState::reported(const LoadFigures& figures, Milliseconds now)
 {
     const double total = static_cast<double>(figures.running) + figures.waiting;
     // A server that reports fewer requests than this instance alone has in flight there does not report its real load.
-    const auto isThere = [now](const Flight& flight) { return now - flight.sentAt > OnTheWay; };
-    if (static_cast<double>(std::count_if(this->flights.begin(), this->flights.end(), isThere)) > total)
-        this->distrustedUntil = now + Distrust;
+    const auto hasReachedServer = [now](const InFlightAttempt& flight) { return now - flight.sentAt > MaxTransitTime; };
+    if (static_cast<double>(std::count_if(this->flights.begin(), this->flights.end(), hasReachedServer)) > total)
+        this->distrustedUntil = now + DistrustPeriod;
     this->lastReport
         = { .figures = figures, .others = std::max(0.0, total - static_cast<double>(this->inFlight())), .at = now };
 }
@@ -214,7 +215,7 @@
 
 bool BackendServerState::saidItIsWell(Milliseconds now) const
 {
-    return now - this->lastReport.at <= FreshFigures && this->lastReport.figures.workPercent <= WellPercent
+    return now - this->lastReport.at <= FreshReportAge && this->lastReport.figures.workPercent <= UsualSpeedPercent
         && static_cast<double>(this->inFlight()) + this->lastReport.others < 1;
 }
 
@@ -228,7 +229,7 @@
 Milliseconds BackendServerState::oldestAge(Milliseconds now) const
 {
     Milliseconds oldest;
-    for (const Flight& flight : this->flights)
+    for (const InFlightAttempt& flight : this->flights)
         oldest = std::max(oldest, now - flight.sentAt);
     return oldest;
 }
--- a/Source/Routing/BackendServerState.h
+++ b/Source/Routing/BackendServerState.h
@@ -21,9 +21,9 @@
 };
 
 /** What a finished attempt contributes to the slowdown estimate of its service. */
-struct EndedFlight {
-    double time = 0; // duration / expected duration / slowdown that the server reported; 0: not known
-    double use = 0; // share of the server's slots in use when the request was sent; 0: not known
+struct FinishedAttempt {
+    double relativeTime = 0; // duration / expected duration / slowdown that the server reported; 0: not known
+    double slotUse = 0; // share of the server's slots in use when the request was sent; 0: not known
 };
 
 /** What this instance knows about one life of a backend server. */
@@ -41,7 +41,7 @@
      * Ends an attempt and updates the estimates from its outcome. `expected` is the time that such a request takes
      * at an average server; zero when it is not known.
      */
-    EndedFlight ended(AttemptNumber attempt, const AttemptEnd& end, Milliseconds expected, Milliseconds now);
+    FinishedAttempt ended(AttemptNumber attempt, const AttemptEnd& end, Milliseconds expected, Milliseconds now);
     void reported(const LoadFigures& figures, Milliseconds now);
     /** A probe could not connect, or was not answered. */
     void probeFailed();
@@ -69,7 +69,7 @@
     bool takesNewRequests() const;
     bool isEmptied() const { return this->emptied; }
     /** True for a short time after a refusal, in which the server gets no requests. */
-    bool isResting(Milliseconds now) const { return now < this->restingUntil; }
+    bool isBackingOff(Milliseconds now) const { return now < this->backoffUntil; }
     /** The server asked this instance to send nothing for now: no request, hedge or probe. */
     bool isPaused(Milliseconds now) const { return now < this->pauseEnd; }
     Milliseconds pausedUntil() const { return this->pauseEnd; }
@@ -92,28 +92,28 @@
     bool saidItIsWell(Milliseconds now) const;
     const LoadReport& report() const { return this->lastReport; }
     /** False for some time after a report that contradicted the requests in flight from this instance. */
-    bool reportIsTrusted(Milliseconds now) const { return now >= this->distrustedUntil; }
+    bool isReportTrusted(Milliseconds now) const { return now >= this->distrustedUntil; }
     /** How many times longer than usual requests took at this server, without the slowdown that it reported itself. */
     double slowness(Milliseconds now) const;
     /** Age of the oldest request in flight; zero with none. */
     Milliseconds oldestAge(Milliseconds now) const;
 
 private:
-    struct Flight {
+    struct InFlightAttempt {
         AttemptNumber attempt = 0;
         Milliseconds sentAt;
-        double crowd = 1; // requests per slot at the server when this one was sent, at least 1
-        double use = 0; // share of the slots in use, from a fresh report; 0: there was none
+        double requestsPerSlot = 1; // requests per slot at the server when this one was sent, at least 1
+        double slotUse = 0; // share of the slots in use, from a fresh report; 0: there was none
         std::optional<SendPermit> permit; // the permit that it used, if any
     };
 
-    void learn(const AttemptEnd& end, const Flight& flight, Milliseconds expected, Milliseconds now);
-    void learnSlowness(const AttemptEnd& end, const Flight& flight, Milliseconds expected, Milliseconds now);
-    void succeeded(const Flight& flight, Milliseconds now);
-    void answeredAfterPause(const Flight& flight);
-    void failed(Milliseconds now);
-    void refused(Milliseconds now);
-    void noteOutcome(double failure, Milliseconds now);
+    void updateEstimates(const AttemptEnd& end, const InFlightAttempt& flight, Milliseconds expected, Milliseconds now);
+    void updateSlowness(const AttemptEnd& end, const InFlightAttempt& flight, Milliseconds expected, Milliseconds now);
+    void recordSuccess(const InFlightAttempt& flight, Milliseconds now);
+    void rampUpAfterPause(const InFlightAttempt& flight);
+    void recordFailure(Milliseconds now);
+    void recordRefusal(Milliseconds now);
+    void addOutcome(double failure, Milliseconds now);
 
     BackendServerRecord description;
     std::size_t connectionShare = 16;
@@ -121,7 +121,7 @@
     bool replaced = false;
     bool emptied = false;
     bool leaving = false;
-    std::vector<Flight> flights;
+    std::vector<InFlightAttempt> flights;
     SendPermits sendPermits;
     LoadReport lastReport;
     Milliseconds distrustedUntil = LongAgo;
@@ -130,7 +130,7 @@
     double failureEstimate = 0;
     Milliseconds failureAt = LongAgo;
     unsigned refusals = 0; // consecutive
-    Milliseconds restingUntil = LongAgo;
+    Milliseconds backoffUntil = LongAgo;
     Milliseconds pauseEnd = LongAgo;
     std::size_t allowedAfterPause = 0; // concurrent requests from this instance after a pause; 0: not limited
     unsigned failures = 0; // consecutive
--- a/Source/Routing/ColdStartShare.cpp
+++ b/Source/Routing/ColdStartShare.cpp
@@ -18,29 +18,29 @@
 
 }
 
-DealtBudget::Part ColdStartShare::part() const
+DealtBudget::Part ColdStartShare::budgetPart() const
 {
     const std::size_t instances = std::max(this->options.instances.value_or(0), FewestInstances);
     const double ofWindow = this->options.perSecond / static_cast<double>(instances);
     return { .perSecond = ofWindow / (Window / Second), .window = Window };
 }
 
-bool ColdStartShare::isBound(const BackendServerState& server, Milliseconds now) const
+bool ColdStartShare::hasRateLimit(const BackendServerState& server, Milliseconds now) const
 {
     return this->options.perSecond > 0 && server.isCold(now);
 }
 
 bool ColdStartShare::allows(const BackendServerState& server, Random& random, Milliseconds now)
 {
-    if (!this->isBound(server, now))
+    if (!this->hasRateLimit(server, now))
         return true;
-    return this->options.instances && this->budget.has(server.id(), this->part(), random, now);
+    return this->options.instances && this->budget.has(server.id(), this->budgetPart(), random, now);
 }
 
 void ColdStartShare::sent(const BackendServerState& server, Random& random, Milliseconds now)
 {
-    if (this->isBound(server, now))
-        this->budget.take(server.id(), this->part(), random, now);
+    if (this->hasRateLimit(server, now))
+        this->budget.take(server.id(), this->budgetPart(), random, now);
 }
 
 }
--- a/Source/Routing/ColdStartShare.h
+++ b/Source/Routing/ColdStartShare.h
@@ -32,8 +32,8 @@
     void forget(const std::string& backendServer) { this->budget.forget(backendServer); }
 
 private:
-    DealtBudget::Part part() const;
-    bool isBound(const BackendServerState& server, Milliseconds now) const;
+    DealtBudget::Part budgetPart() const;
+    bool hasRateLimit(const BackendServerState& server, Milliseconds now) const;
 
     Options options;
     DealtBudget budget;
--- a/Source/Routing/LoadAwarePolicy.cpp
+++ b/Source/Routing/LoadAwarePolicy.cpp
@@ -36,7 +36,7 @@
 constexpr double NearlyFull = 0.8;
 constexpr double NearlyFullFactor = 1.3;
 
-double crowdFactor(double requests, double slots)
+double loadFactor(double requests, double slots)
 {
     const double used = (requests + 1) / slots;
     if (used <= NearlyFull)
@@ -70,26 +70,26 @@
 {
     const LoadReport& report = server.report();
     const double trust
-        = !server.reportIsTrusted(now) ? 0 : std::exp(-std::max(0.0, (now - report.at).count) / ReportDecay.count);
-    const double told = std::max<std::uint32_t>(report.figures.workPercent, 1) / UsualPercent;
+        = !server.isReportTrusted(now) ? 0 : std::exp(-std::max(0.0, (now - report.at).count) / ReportDecay.count);
+    const double reportedFactor = std::max<std::uint32_t>(report.figures.workPercent, 1) / UsualPercent;
     ExpectedLoad load;
     load.requests = static_cast<double>(server.inFlight()) + pool.others + (report.others - pool.others) * trust;
-    load.workFactor = pool.workFactor + (told - pool.workFactor) * trust;
+    load.workFactor = pool.workFactor + (reportedFactor - pool.workFactor) * trust;
     return load;
 }
 
 double LoadAwarePolicy::score(const BackendServerState& server, const PoolLoad& pool, const RoutingContext& context)
 {
     const ExpectedLoad load = expectedLoadOf(server, pool, context.now);
-    const double slow = std::max(1.0, server.slowness(context.now) / UsualSlowness);
+    const double slowness = std::max(1.0, server.slowness(context.now) / UsualSlowness);
     // Requests that have been in flight for long indicate a slowdown before any answer does.
-    const double hanging
+    const double overdue
         = context.expected.count > 0 ? std::max(1.0, server.oldestAge(context.now) / context.expected / UsualAge) : 1;
     const double cold = server.isCold(context.now) ? ColdFactor : 1;
     const double failures = 1 + FailureWeight * server.failureShare(context.now);
     const double distance = server.record().dataCentre == context.dataCentre ? 0 : DistanceShare;
-    const double crowd = crowdFactor(load.requests, server.slots());
-    return crowd * load.workFactor * std::max(slow, hanging) * cold * failures + distance;
+    const double loadTerm = loadFactor(load.requests, server.slots());
+    return loadTerm * load.workFactor * std::max(slowness, overdue) * cold * failures + distance;
 }
 
 BackendServerState* LoadAwarePolicy::choose(
--- a/Source/Routing/NoticeBook.cpp
+++ b/Source/Routing/NoticeBook.cpp
@@ -11,14 +11,14 @@
 
 NoticeBook::Entry* NoticeBook::entryOf(const std::string& backendServer, std::uint64_t life, Milliseconds now)
 {
-    const auto [found, isNew] = this->entries.try_emplace(backendServer, Entry{ .life = life, .heardAt = now });
+    const auto [found, isNew] = this->entries.try_emplace(backendServer, Entry{ .life = life, .receivedAt = now });
     Entry& entry = found->second;
     if (life < entry.life)
         return nullptr;
     if (life > entry.life)
         entry = { .life = life };
-    entry.heardAt = now;
-    if (isNew && this->entries.size() > this->options.mostLives)
+    entry.receivedAt = now;
+    if (isNew && this->entries.size() > this->options.maxEntries)
         this->forgetOldest();
     return &entry;
 }
@@ -32,7 +32,7 @@
 void NoticeBook::forgetOldest()
 {
     const auto oldest = std::min_element(this->entries.begin(), this->entries.end(),
-        [](const auto& one, const auto& other) { return one.second.heardAt < other.second.heardAt; });
+        [](const auto& one, const auto& other) { return one.second.receivedAt < other.second.receivedAt; });
     this->entries.erase(oldest);
 }
 
--- a/Source/Routing/NoticeBook.h
+++ b/Source/Routing/NoticeBook.h
@@ -24,7 +24,7 @@
          * Maximum number of entries; the one without a notice for the longest time is dropped first. Enough for a fleet
          * of 700 servers that are all replaced eleven times. About 1 MB.
          */
-        std::size_t mostLives = 8192;
+        std::size_t maxEntries = 8192;
     };
 
     explicit NoticeBook(Options options);
@@ -42,7 +42,7 @@
         std::uint64_t life = 0;
         bool isLeaving = false;
         Milliseconds pausedUntil = LongAgo;
-        Milliseconds heardAt;
+        Milliseconds receivedAt;
     };
 
     /** Adds or updates the entry; null when a later life is known, so that the notice is obsolete. */
--- a/Source/Routing/CrowdingEstimate.cpp
+++ b/Source/Routing/SaturationEstimate.cpp
@@ -1,4 +1,4 @@
-#include "Routing/CrowdingEstimate.h"
+#include "Routing/SaturationEstimate.h"
 
 #include <algorithm>
 #include <cmath>
@@ -7,7 +7,9 @@
 
 namespace {
 
+/** Up to this share of slots in use, a sample counts as that of a server with free slots. */
 constexpr double FreeUse = 0.7;
+/** From this share of slots in use, a sample counts as that of a full server. */
 constexpr double FullUse = 0.85;
 /** Above this the request had to wait for a slot, so its time is not that of a full server. */
 constexpr double MostUse = 1.01;
@@ -29,14 +31,14 @@
 
 }
 
-void CrowdingEstimate::Mean::add(double sample)
+void SaturationEstimate::Mean::add(double sample)
 {
     ++this->samples;
     const double share = std::max(SampleShare, 1.0 / static_cast<double>(this->samples));
     this->value += (sample - this->value) * share;
 }
 
-void CrowdingEstimate::add(double time, double use)
+void SaturationEstimate::add(double time, double use)
 {
     const double bounded = std::min(time, LongestTime);
     if (use <= FreeUse)
@@ -45,13 +47,13 @@
         this->full.add(bounded);
 }
 
-double CrowdingEstimate::slowdown() const
+double SaturationEstimate::slowdown() const
 {
     const bool isKnown = this->free.samples >= EnoughSamples && this->full.samples >= EnoughSamples;
     return isKnown && this->free.value > 0 ? std::max(1.0, this->full.value / this->free.value) : 1;
 }
 
-double CrowdingEstimate::usefulSlots(double slots) const
+double SaturationEstimate::slotsToUse(double slots) const
 {
     const double fewer = std::max(1.0, std::floor(slots * NearlyFull));
     // A full server answers slots / slowdown requests in the time of one request, and each of them takes longer.
--- a/Source/Routing/CrowdingEstimate.h
+++ b/Source/Routing/SaturationEstimate.h
@@ -8,7 +8,7 @@
  * Estimates how much longer requests of a service take at a nearly full backend server than at one with free slots.
  * Some services slow down so much when their last slots are used that their throughput falls.
  */
-class CrowdingEstimate {
+class SaturationEstimate {
 public:
     /**
      * `time` is in units of the expected time of the request, `use` the share of slots in use, this request included.
@@ -18,7 +18,7 @@
     /** How many times longer requests take at a full server; 1 until there are enough samples. */
     double slowdown() const;
     /** Concurrent requests that a server with this many slots should get. */
-    double usefulSlots(double slots) const;
+    double slotsToUse(double slots) const;
 
 private:
     /** A moving average in which older samples lose weight. */
--- a/Source/Routing/SendPermits.cpp
+++ b/Source/Routing/SendPermits.cpp
@@ -7,14 +7,14 @@
 namespace {
 
 /** Interval between the reports of a server that takes half a request a second. */
-constexpr Milliseconds WordKeptFresh{ 2000 };
+constexpr Milliseconds ReportInterval{ 2000 };
 
 }
 
-void SendPermits::limit(Milliseconds heardAt)
+void SendPermits::limit(Milliseconds at)
 {
     this->limited = true;
-    this->wordAt = std::max(this->wordAt, heardAt);
+    this->reportedAt = std::max(this->reportedAt, at);
 }
 
 void SendPermits::lift()
@@ -24,7 +24,7 @@
 
 bool SendPermits::isWordOld(Milliseconds now) const
 {
-    return this->limited && now - this->wordAt > WordKeptFresh;
+    return this->limited && now - this->reportedAt > ReportInterval;
 }
 
 bool SendPermits::allows(Milliseconds now) const
@@ -66,7 +66,7 @@
 
 void SendPermits::asked(std::uint64_t number, Milliseconds due)
 {
-    this->ask = number;
+    this->pendingRequest = number;
     this->answerDue = due;
 }
 
@@ -75,7 +75,7 @@
     this->deniedUntil = std::max(this->deniedUntil, until);
 }
 
-Milliseconds SendPermits::nextChance(Milliseconds now) const
+Milliseconds SendPermits::nextPermitAt(Milliseconds now) const
 {
     Milliseconds next = this->isAwaiting(now) ? now : std::max(now, this->deniedUntil);
     for (const SendPermit& permit : this->permits) {
--- a/Source/Routing/SendPermits.h
+++ b/Source/Routing/SendPermits.h
@@ -23,7 +23,7 @@
 class SendPermits {
 public:
     /** The server reported a limit at this time, for the first time or again. */
-    void limit(Milliseconds wordAt);
+    void limit(Milliseconds at);
     /** The server no longer has a limit. */
     void lift();
     bool isLimited() const { return this->limited; }
@@ -43,23 +43,23 @@
     bool mayAsk(Milliseconds now) const;
     /** A permit was requested under this number; without an answer by `answerDue` another one may be requested. */
     void asked(std::uint64_t number, Milliseconds answerDue);
-    bool isAwaited(std::uint64_t number) const { return this->ask && this->ask == number; }
+    bool isAwaited(std::uint64_t number) const { return this->pendingRequest && this->pendingRequest == number; }
     /** A permit was requested, and no answer came in time. */
-    bool isUnanswered(Milliseconds now) const { return this->ask && now >= this->answerDue; }
+    bool isUnanswered(Milliseconds now) const { return this->pendingRequest && now >= this->answerDue; }
     /** The answer arrived, or is no longer awaited. */
-    void answered() { this->ask = 0; }
+    void answered() { this->pendingRequest = 0; }
     /** The request was denied: no permit may be requested before this time. */
     void denied(Milliseconds until);
     /** Earliest time at which a permit may be available, as far as this instance knows. */
-    Milliseconds nextChance(Milliseconds now) const;
+    Milliseconds nextPermitAt(Milliseconds now) const;
 
 private:
-    bool isAwaiting(Milliseconds now) const { return this->ask && now < this->answerDue; }
+    bool isAwaiting(Milliseconds now) const { return this->pendingRequest && now < this->answerDue; }
 
     bool limited = false;
-    Milliseconds wordAt = LongAgo;
+    Milliseconds reportedAt = LongAgo;
     std::vector<SendPermit> permits;
-    std::uint64_t ask = 0; // number of the pending request; 0: none
+    std::uint64_t pendingRequest = 0; // number of the pending request; 0: none
     Milliseconds answerDue = LongAgo;
     Milliseconds deniedUntil = LongAgo;
 };
--- a/Source/Routing/ServicePool.cpp
+++ b/Source/Routing/ServicePool.cpp
@@ -11,28 +11,28 @@
 
 /**
  * When all servers are full according to their reports, but none has reported for this long and none has a request
- * from this instance, one request is sent all the same: nothing else would show that there is room again.
+ * from this instance, one request is sent all the same: nothing else would show that slots are free again.
  */
-constexpr Milliseconds SilentPool{ 300 };
+constexpr Milliseconds InactivePeriod{ 300 };
 /**
  * A server that reported that it is slow is assumed to stay slow for this long: a little less than a slowdown by noisy
  * neighbours lasts, which is about 150 ms. On a day with load peaks and an emptied data centre, 0.69 of the total value
  * of the requests was earned with 60 ms, more with 90 and 120, and less again with 160 (95 instances, 257 servers).
  */
-constexpr Milliseconds SlowToldFor{ 120 };
+constexpr Milliseconds SlowReportValidity{ 120 };
 constexpr double UsualPercent = 100;
 /** Maximum age of a report for a server to count as recently reported. */
-constexpr Milliseconds HeardLately{ 100 };
+constexpr Milliseconds RecentReportAge{ 100 };
 
-bool isHeardLately(const BackendServerState& server, Milliseconds now)
+bool hasRecentReport(const BackendServerState& server, Milliseconds now)
 {
-    return now - server.report().at <= HeardLately;
+    return now - server.report().at <= RecentReportAge;
 }
 
-bool isToldSlow(const BackendServerState& server, double longestWork, Milliseconds now)
+bool isReportedSlow(const BackendServerState& server, double longestWork, Milliseconds now)
 {
     const LoadReport& report = server.report();
-    return now - report.at <= SlowToldFor && server.reportIsTrusted(now)
+    return now - report.at <= SlowReportValidity && server.isReportTrusted(now)
         && report.figures.workPercent / UsualPercent > longestWork;
 }
 
@@ -97,12 +97,12 @@
     Milliseconds next = Never;
     for (const auto& server : this->list) {
         if (server->takesNewRequests() && !server->isPaused(now))
-            next = std::min(next, server->permits().isLimited() ? server->permits().nextChance(now) : now);
+            next = std::min(next, server->permits().isLimited() ? server->permits().nextPermitAt(now) : now);
     }
     return next == Never ? now : next;
 }
 
-NoChoice ServicePool::whyNobody(Milliseconds now) const
+NoChoice ServicePool::reasonForNone(Milliseconds now) const
 {
     if (this->pauseEnd(now) > now)
         return NoChoice::Paused;
@@ -132,71 +132,73 @@
         server->setConnectionShare(this->connectionShare);
 }
 
-std::vector<BackendServerState*> ServicePool::filter(const Sieve& sieve, Milliseconds now) const
+std::vector<BackendServerState*> ServicePool::serversMatching(const ServerFilter& filter, Milliseconds now) const
 {
     std::vector<BackendServerState*> found;
     for (const auto& server : this->list) {
-        if (!this->versions.allows(server->record().version, sieve.wantsTarget))
+        if (!this->versions.allows(server->record().version, filter.wantsTarget))
             continue;
-        const bool isLeftOut = std::find(sieve.without.begin(), sieve.without.end(), server) != sieve.without.end();
+        const bool isExcluded
+            = std::find(filter.excluded.begin(), filter.excluded.end(), server) != filter.excluded.end();
         const bool isHeldBack = server->isPaused(now) || !server->permits().allows(now)
-            || (!sieve.withLimited && server->permits().isLimited());
-        const bool isTaker = server->takesNewRequests() && !isHeldBack;
-        if (isTaker && !isLeftOut && (sieve.withEjected || !server->isEjected(now)))
+            || (!filter.withLimited && server->permits().isLimited());
+        const bool isEligible = server->takesNewRequests() && !isHeldBack;
+        if (isEligible && !isExcluded && (filter.withEjected || !server->isEjected(now)))
             found.push_back(server.get());
     }
     return found;
 }
 
-std::vector<BackendServerState*> ServicePool::takers(const ChoiceWish& wish, const RoutingContext& context) const
+std::vector<BackendServerState*> ServicePool::eligibleServers(
+    const ChoiceWish& wish, const RoutingContext& context) const
 {
-    auto found = this->filter({ .without = wish.tried, .wantsTarget = context.wantsTarget }, context.now);
+    auto found = this->serversMatching({ .excluded = wish.tried, .wantsTarget = context.wantsTarget }, context.now);
     // The target version of a rollout has few servers: the other version takes the requests that they cannot.
     if (found.empty() && context.wantsTarget)
-        found = this->filter({ .without = wish.tried }, context.now);
+        found = this->serversMatching({ .excluded = wish.tried }, context.now);
     if (!found.empty() || wish.onlyUntried)
         return found;
     // A backend server that was tried before or is ejected is better than none.
-    found = this->filter({}, context.now);
+    found = this->serversMatching({}, context.now);
     if (found.empty())
-        found = this->filter({ .withEjected = true }, context.now);
+        found = this->serversMatching({ .withEjected = true }, context.now);
     return found;
 }
 
-bool ServicePool::hasRoom(
+bool ServicePool::hasCapacity(
     const BackendServerState& server, double requests, const ChoiceWish& wish, Milliseconds now) const
 {
     if (!server.hasConnectionLeft())
         return false;
     if (!this->options.adaptive)
         return true;
-    if (server.isResting(now) || (server.isOnTrial() && server.inFlight() > 0))
+    if (server.isBackingOff(now) || (server.isOnTrial() && server.inFlight() > 0))
         return false;
     // Otherwise all waiting requests would be sent at once when its pause ends.
     if (!server.mayTakeAfterPause())
         return false;
     // Requests above this wait in the queue of this instance, from which they can still go to another server.
-    return requests < this->crowdingEstimate.usefulSlots(server.slots()) * wish.limitShare;
+    return requests < this->saturationEstimate.slotsToUse(server.slots()) * wish.limitShare;
 }
 
-void ServicePool::learn(const EndedFlight& flight)
+void ServicePool::learn(const FinishedAttempt& flight)
 {
-    if (flight.time > 0 && flight.use > 0)
-        this->crowdingEstimate.add(flight.time, flight.use);
+    if (flight.relativeTime > 0 && flight.slotUse > 0)
+        this->saturationEstimate.add(flight.relativeTime, flight.slotUse);
 }
 
 Choice ServicePool::choose(const ChoiceWish& wish, const RoutingContext& context, Random& random)
 {
-    auto takers = this->takers(wish, context);
-    if (takers.empty())
-        return { .server = nullptr, .reason = this->whyNobody(context.now) };
-    std::erase_if(takers,
+    auto eligible = this->eligibleServers(wish, context);
+    if (eligible.empty())
+        return { .server = nullptr, .reason = this->reasonForNone(context.now) };
+    std::erase_if(eligible,
         [&](const BackendServerState* server) { return !this->coldShare.allows(*server, random, context.now); });
-    auto candidates = takers;
+    auto candidates = eligible;
     const PoolLoad pool = poolLoadOf(candidates);
     std::erase_if(candidates, [&](const BackendServerState* server) {
         const double requests = expectedLoadOf(*server, pool, context.now).requests;
-        return !this->hasRoom(*server, requests, wish, context.now);
+        return !this->hasCapacity(*server, requests, wish, context.now);
     });
     if (!wish.mayTry && candidates.size() > 1) {
         const bool hasOthers = std::any_of(candidates.begin(), candidates.end(),
@@ -205,22 +207,22 @@
             std::erase_if(candidates, [](const BackendServerState* server) { return server->isOnTrial(); });
     }
     // Otherwise requests would wait for ever: without traffic no answer reports free slots.
-    if (candidates.empty() && this->isSilent(context.now))
-        candidates = takers;
+    if (candidates.empty() && this->isInactive(context.now))
+        candidates = eligible;
     if (candidates.empty())
         return { .server = nullptr, .reason = NoChoice::Full };
     std::erase_if(candidates,
-        [&](const BackendServerState* server) { return isToldSlow(*server, wish.longestWork, context.now); });
+        [&](const BackendServerState* server) { return isReportedSlow(*server, wish.longestWork, context.now); });
     if (candidates.empty())
         return { .server = nullptr, .reason = NoChoice::Slow };
     // Only an answer to a request shows whether the limit still holds: servers with a limit are not probed.
-    const auto old = std::find_if(candidates.begin(), candidates.end(),
+    const auto withStaleLimit = std::find_if(candidates.begin(), candidates.end(),
         [&](const BackendServerState* server) { return server->permits().isWordOld(context.now); });
-    if (old != candidates.end())
-        return { .server = this->find((*old)->id()), .reason = NoChoice::Full };
+    if (withStaleLimit != candidates.end())
+        return { .server = this->find((*withStaleLimit)->id()), .reason = NoChoice::Full };
     if (wish.onlyHeard)
         std::erase_if(candidates, [&](const BackendServerState* server) {
-            return !server->permits().isLimited() && !isHeardLately(*server, context.now);
+            return !server->permits().isLimited() && !hasRecentReport(*server, context.now);
         });
     if (candidates.empty())
         return { .server = nullptr, .reason = NoChoice::Unheard };
@@ -228,16 +230,16 @@
     return { .server = this->find(chosen->id()), .reason = NoChoice::Full };
 }
 
-std::vector<std::shared_ptr<BackendServerState>> ServicePool::worthKnowing(
+std::vector<std::shared_ptr<BackendServerState>> ServicePool::probeCandidates(
     std::size_t most, const RoutingContext& context, Random& random) const
 {
-    std::vector<BackendServerState*> takers
-        = this->filter({ .wantsTarget = context.wantsTarget, .withLimited = false }, context.now);
-    const PoolLoad pool = poolLoadOf(takers);
+    std::vector<BackendServerState*> eligible
+        = this->serversMatching({ .wantsTarget = context.wantsTarget, .withLimited = false }, context.now);
+    const PoolLoad pool = poolLoadOf(eligible);
     constexpr double jitter = 0.3;
     std::vector<std::pair<double, const BackendServerState*>> ranked;
-    ranked.reserve(takers.size());
-    for (const BackendServerState* server : takers)
+    ranked.reserve(eligible.size());
+    for (const BackendServerState* server : eligible)
         ranked.emplace_back(LoadAwarePolicy::score(*server, pool, context) * (1 + jitter * random.unit()), server);
     const auto count = static_cast<std::ptrdiff_t>(std::min(ranked.size(), most));
     std::partial_sort(ranked.begin(), ranked.begin() + count, ranked.end());
@@ -249,10 +251,10 @@
     return found;
 }
 
-bool ServicePool::isSilent(Milliseconds now) const
+bool ServicePool::isInactive(Milliseconds now) const
 {
     return std::all_of(this->list.begin(), this->list.end(), [now](const auto& server) {
-        return !server->inFlight() && !server->isResting(now) && now - server->report().at > SilentPool;
+        return !server->inFlight() && !server->isBackingOff(now) && now - server->report().at > InactivePeriod;
     });
 }
 
--- a/Source/Routing/ServicePool.h
+++ b/Source/Routing/ServicePool.h
@@ -3,9 +3,9 @@
 #include "Base/Random.h"
 #include "Rollouts/VersionRule.h"
 #include "Routing/ColdStartShare.h"
-#include "Routing/CrowdingEstimate.h"
 #include "Routing/OutlierDetector.h"
 #include "Routing/RoutingPolicy.h"
+#include "Routing/SaturationEstimate.h"
 
 #include <cstddef>
 #include <functional>
@@ -89,11 +89,11 @@
 
     Choice choose(const ChoiceWish& wish, const RoutingContext& context, Random& random);
     /** At most so many servers that are worth probing before a choice, in order of their score, best first. */
-    std::vector<std::shared_ptr<BackendServerState>> worthKnowing(
+    std::vector<std::shared_ptr<BackendServerState>> probeCandidates(
         std::size_t most, const RoutingContext& context, Random& random) const;
     /** Updates the slowdown estimate with an attempt that has ended at one of the backend servers. */
-    void learn(const EndedFlight& flight);
-    const CrowdingEstimate& crowding() const { return this->crowdingEstimate; }
+    void learn(const FinishedAttempt& flight);
+    const SaturationEstimate& saturation() const { return this->saturationEstimate; }
     /** Ejects the backend server if it has failed too often; true when it was ejected. */
     bool checkOutlier(BackendServerState& server, Milliseconds now);
 
@@ -104,24 +104,24 @@
 
 private:
     /** True when no request is in flight at any server and none has reported for some time. */
-    bool isSilent(Milliseconds now) const;
-    bool hasRoom(const BackendServerState& server, double requests, const ChoiceWish& wish, Milliseconds now) const;
-    NoChoice whyNobody(Milliseconds now) const;
+    bool isInactive(Milliseconds now) const;
+    bool hasCapacity(const BackendServerState& server, double requests, const ChoiceWish& wish, Milliseconds now) const;
+    NoChoice reasonForNone(Milliseconds now) const;
     /** Which servers are eligible. */
-    struct Sieve {
-        std::span<const std::shared_ptr<BackendServerState>> without;
+    struct ServerFilter {
+        std::span<const std::shared_ptr<BackendServerState>> excluded;
         bool withEjected = false;
         bool wantsTarget = false;
         bool withLimited = true; // includes servers with a limit that have a permit now
     };
 
-    std::vector<BackendServerState*> takers(const ChoiceWish& wish, const RoutingContext& context) const;
-    std::vector<BackendServerState*> filter(const Sieve& sieve, Milliseconds now) const;
+    std::vector<BackendServerState*> eligibleServers(const ChoiceWish& wish, const RoutingContext& context) const;
+    std::vector<BackendServerState*> serversMatching(const ServerFilter& filter, Milliseconds now) const;
 
     Options options;
     std::unique_ptr<RoutingPolicy> policy;
     OutlierDetector outliers;
-    CrowdingEstimate crowdingEstimate;
+    SaturationEstimate saturationEstimate;
     ColdStartShare coldShare;
     VersionRule versions;
     std::size_t connectionShare = 16;
--- a/Source/Routing/WeightedTurn.cpp
+++ b/Source/Routing/WeightedTurn.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /** Number of requests by which a service may exceed its share. */
-constexpr double MostAhead = 1;
+constexpr double MaxOverage = 1;
 constexpr double LongestPeriod = 10000;
 
 }
@@ -20,49 +20,49 @@
     for (const WeightedService& service : services) {
         this->totalWeight += service.weight;
         divisor = std::gcd(divisor, service.weight);
-        this->parts.push_back({ .service = service });
+        this->targets.push_back({ .service = service });
     }
     // The order repeats after this many requests. Starting at a random point of it makes the probability of each
     // service match its weight even for an instance that sees only one or two requests.
     const double period = std::min(LongestPeriod, this->totalWeight / std::max(divisor, 1U));
     for (double turns = std::floor(start * period); turns >= 1; turns -= 1)
-        this->takeTurn();
+        this->assignNext();
 }
 
-WeightedTurn::Part& WeightedTurn::takeTurn()
+WeightedTurn::Target& WeightedTurn::assignNext()
 {
-    for (Part& part : this->parts)
-        part.credit += part.service.weight / std::max(this->totalWeight, 1.0);
-    Part& owed = *std::max_element(this->parts.begin(), this->parts.end(),
-        [](const Part& left, const Part& right) { return left.credit < right.credit; });
+    for (Target& target : this->targets)
+        target.credit += target.service.weight / std::max(this->totalWeight, 1.0);
+    Target& owed = *std::max_element(this->targets.begin(), this->targets.end(),
+        [](const Target& left, const Target& right) { return left.credit < right.credit; });
     owed.credit -= 1;
     return owed;
 }
 
 const std::string& WeightedTurn::next()
 {
-    const Part& owed = this->takeTurn();
-    if (owed.sentCredit > -MostAhead)
+    const Target& owed = this->assignNext();
+    if (owed.sentCredit > -MaxOverage)
         return owed.service.service;
-    const auto behind = std::max_element(this->parts.begin(), this->parts.end(),
-        [](const Part& left, const Part& right) { return left.sentCredit < right.sentCredit; });
-    return behind->service.service;
+    const auto mostBehind = std::max_element(this->targets.begin(), this->targets.end(),
+        [](const Target& left, const Target& right) { return left.sentCredit < right.sentCredit; });
+    return mostBehind->service.service;
 }
 
 void WeightedTurn::sent(const std::string& service)
 {
-    for (Part& part : this->parts) {
-        part.sentCredit += part.service.weight / std::max(this->totalWeight, 1.0);
-        if (part.service.service == service)
-            part.sentCredit -= 1;
+    for (Target& target : this->targets) {
+        target.sentCredit += target.service.weight / std::max(this->totalWeight, 1.0);
+        if (target.service.service == service)
+            target.sentCredit -= 1;
     }
 }
 
 bool WeightedTurn::isFor(std::span<const WeightedService> services) const
 {
-    return std::equal(this->parts.begin(), this->parts.end(), services.begin(), services.end(),
-        [](const Part& part, const WeightedService& service) {
-            return part.service.service == service.service && part.service.weight == service.weight;
+    return std::equal(this->targets.begin(), this->targets.end(), services.begin(), services.end(),
+        [](const Target& target, const WeightedService& service) {
+            return target.service.service == service.service && target.service.weight == service.weight;
         });
 }
 
--- a/Source/Routing/WeightedTurn.h
+++ b/Source/Routing/WeightedTurn.h
@@ -31,16 +31,16 @@
     bool isFor(std::span<const WeightedService> services) const;
 
 private:
-    struct Part {
+    struct Target {
         WeightedService service;
         double credit = 0; // requests that the service is owed, counting all that next() assigned
         double sentCredit = 0; // the same, counting only requests that were sent
     };
 
     /** The target that the next request is owed to. */
-    Part& takeTurn();
+    Target& assignNext();
 
-    std::vector<Part> parts;
+    std::vector<Target> targets;
     double totalWeight = 0;
 };
 
--- a/Tests/Admission/CallerPatienceTest.cpp
+++ b/Tests/Admission/CallerPatienceTest.cpp
@@ -36,7 +36,7 @@
     CallerPatience patience;
 };
 
-TEST(CallerPatience, TellsLateCallersFromOthers)
+TEST(CallerPatience, DetectsLateCallers)
 {
     for (const Case& item : Cases)
         CHECK_EQUAL_TEXT(item.isLate, isLateCaller(item.spent, item.expected, Target), item.name);
--- a/Tests/Admission/ComeBackTimeTest.cpp
+++ b/Tests/Admission/ComeBackTimeTest.cpp
@@ -30,7 +30,7 @@
 
 TEST_GROUP(ComeBackTime){};
 
-TEST(ComeBackTime, SaysWhenThereMayBeRoom)
+TEST(ComeBackTime, DependsOnTheReason)
 {
     for (const Case& item : Cases)
         DOUBLES_EQUAL_TEXT(
--- a/Tests/Admission/WaitingQueueTest.cpp
+++ b/Tests/Admission/WaitingQueueTest.cpp
@@ -12,13 +12,13 @@
     WaitingQueue queue;
 };
 
-TEST(WaitingQueue, RankBeforeOrder)
+TEST(WaitingQueue, LowestRankFirstThenOrderOfArrival)
 {
     this->queue.push(2, 1);
     this->queue.push(1, 2);
     this->queue.push(2, 3);
     this->queue.push(0, 4);
-    LONGS_EQUAL(2, this->queue.ahead(1));
+    LONGS_EQUAL(2, this->queue.countAhead(1));
     for (const RequestNumber expected : { 4U, 2U, 1U, 3U })
         LONGS_EQUAL(expected, *this->queue.pop());
     CHECK_FALSE(this->queue.pop().has_value());
@@ -35,7 +35,7 @@
     CHECK(before < 25);
 }
 
-TEST(WaitingQueue, WhoWasTakenOutGoesBackToTheFront)
+TEST(WaitingQueue, PushFrontRestoresTheOrder)
 {
     this->queue.push(1, 1);
     this->queue.push(1, 2);
--- a/Tests/Attempts/AttemptRulesTest.cpp
+++ b/Tests/Attempts/AttemptRulesTest.cpp
@@ -43,7 +43,7 @@
 
 TEST_GROUP(AttemptRules){};
 
-TEST(AttemptRules, SendsAgainOnlyWhatMayRunAgain)
+TEST(AttemptRules, RetriesOnlyWhatMayRunAgain)
 {
     for (const Case& item : Cases) {
         Route route;
--- a/Tests/Crashes/BrokenAttemptsTest.cpp
+++ b/Tests/Crashes/BrokenAttemptsTest.cpp
@@ -21,7 +21,7 @@
 
 TEST_GROUP(BrokenAttempts){};
 
-TEST(BrokenAttempts, AServerIsLookedAtOnceAtATime)
+TEST(BrokenAttempts, ChecksAServerOnceAtATime)
 {
     BrokenAttempts attempts({});
     CHECK(attempts.add(at("s1", OneRequest, { 0 }), { 0 }));
@@ -33,7 +33,7 @@
     CHECK(attempts.add(at("s1", OneRequest, { 2 }), { 2 }));
 }
 
-TEST(BrokenAttempts, AServerThatMayStillBeEndingIsLookedAtTwice)
+TEST(BrokenAttempts, ChecksAServerTwiceThatMayStillBeEnding)
 {
     BrokenAttempts attempts({});
     attempts.add(at("s1", OneRequest, { 0 }), { 0 });
@@ -50,7 +50,7 @@
     LONGS_EQUAL(0, attempts.ended("s1").size());
 }
 
-TEST(BrokenAttempts, AnotherLifeThatIsHeardOfBetweenTheLooksShowsTheEnd)
+TEST(BrokenAttempts, ANewLifeBetweenTheChecksProvesACrash)
 {
     BrokenAttempts attempts({});
     attempts.add(at("s1", OneRequest, { 0 }), { 0 });
@@ -58,7 +58,7 @@
     LONGS_EQUAL(1, attempts.ended("s1").size());
 }
 
-TEST(BrokenAttempts, WhereNothingIsKnownOfTheServerNothingIsKept)
+TEST(BrokenAttempts, KeepsNoAttemptsOfServersInAnUnknownState)
 {
     BrokenAttempts attempts({});
     attempts.add(at("s1", OneRequest, { 0 }), { 0 });
@@ -72,7 +72,7 @@
 
 TEST(BrokenAttempts, AreBounded)
 {
-    BrokenAttempts attempts({ .most = 3 });
+    BrokenAttempts attempts({ .maxAttempts = 3 });
     for (int number = 0; number < 10; ++number)
         attempts.add(at("s" + std::to_string(number), OneRequest, { 0 }), { 0 });
     LONGS_EQUAL(3, attempts.size());
--- a/Tests/Crashes/CrashTableTest.cpp
+++ b/Tests/Crashes/CrashTableTest.cpp
@@ -32,13 +32,13 @@
 constexpr Milliseconds Apart{ 20 };
 
 /** A crash of a server; each server has its own address. */
-ServerEnd endOf(std::uint64_t server, Milliseconds at, std::uint64_t caller = Caller)
+ServerEnd crashOf(std::uint64_t server, Milliseconds at, std::uint64_t caller = Caller)
 {
     return { .server = server, .address = address(server), .caller = caller, .at = at };
 }
 
 /** A crash of one of several processes that had the same address. */
-ServerEnd endAt(std::uint16_t port, std::uint64_t server, std::uint32_t ordinal = 1)
+ServerEnd crashAt(std::uint16_t port, std::uint64_t server, std::uint32_t ordinal = 1)
 {
     return { .server = server,
         .ordinal = ordinal,
@@ -57,50 +57,51 @@
     return CrashTable({ .instance = instance });
 }
 
-void addEnds(CrashTable& table, const RequestDigest& digest, std::uint64_t first, std::size_t count, Milliseconds at)
+void addCrashes(CrashTable& table, const RequestDigest& digest, std::uint64_t first, std::size_t count, Milliseconds at)
 {
     for (std::size_t index = 0; index < count; ++index) {
         const Milliseconds time = at - Apart * static_cast<double>(count - 1 - index);
-        table.add(digest, endOf(first + index, time), time);
+        table.add(digest, crashOf(first + index, time), time);
     }
 }
 
 /** The known crashes under a request, and whether it is refused because of them. */
 struct Case {
     const char* name;
-    std::vector<ServerEnd> ends;
+    std::vector<ServerEnd> crashes;
     bool hasOneAddress;
     bool isRefused;
 };
 
 const std::vector<Case> Cases{
     { "no crashes", {}, false, false },
-    { "two servers", { endOf(1, { 0 }), endOf(2, { 50 }) }, false, false },
-    { "three servers", { endOf(1, { 0 }), endOf(2, { 50 }), endOf(3, { 100 }) }, false, true },
-    { "three servers at once", { endOf(1, { 0 }), endOf(2, { 2 }), endOf(3, { 4 }) }, false, false },
-    { "one crash reported three times", { endOf(1, { 0 }), endOf(1, { 30 }), endOf(1, { 9000 }) }, false, false },
-    { "three processes at one address of several", { endAt(7, 1), endAt(7, 2), endAt(7, 3) }, false, false },
-    { "three processes of the only server", { endAt(7, 1), endAt(7, 2), endAt(7, 3) }, true, true },
-    { "three crashes of two servers, one of which keeps its record", { endAt(7, 1, 1), endAt(7, 1, 2), endAt(8, 2, 1) },
-        false, true },
+    { "two servers", { crashOf(1, { 0 }), crashOf(2, { 50 }) }, false, false },
+    { "three servers", { crashOf(1, { 0 }), crashOf(2, { 50 }), crashOf(3, { 100 }) }, false, true },
+    { "three servers at once", { crashOf(1, { 0 }), crashOf(2, { 2 }), crashOf(3, { 4 }) }, false, false },
+    { "one crash reported three times", { crashOf(1, { 0 }), crashOf(1, { 30 }), crashOf(1, { 9000 }) }, false, false },
+    { "three processes at one address of several", { crashAt(7, 1), crashAt(7, 2), crashAt(7, 3) }, false, false },
+    { "three processes of the only server", { crashAt(7, 1), crashAt(7, 2), crashAt(7, 3) }, true, true },
+    { "three crashes of two servers, one of which keeps its record",
+        { crashAt(7, 1, 1), crashAt(7, 1, 2), crashAt(8, 2, 1) }, false, true },
     { "crashes of another caller's requests",
-        { endOf(1, { 0 }, OtherCaller), endOf(2, { 50 }, OtherCaller), endOf(3, { 100 }, OtherCaller) }, false, false },
+        { crashOf(1, { 0 }, OtherCaller), crashOf(2, { 50 }, OtherCaller), crashOf(3, { 100 }, OtherCaller) }, false,
+        false },
     { "crashes of several callers' requests",
-        { endOf(1, { 0 }, OtherCaller), endOf(2, { 50 }, 72), endOf(3, { 100 }, 73) }, false, true },
+        { crashOf(1, { 0 }, OtherCaller), crashOf(2, { 50 }, 72), crashOf(3, { 100 }, 73) }, false, true },
     { "crashes of several callers' requests at once",
-        { endOf(1, { 0 }, OtherCaller), endOf(2, { 2 }, 72), endOf(3, { 4 }, 73) }, false, false },
+        { crashOf(1, { 0 }, OtherCaller), crashOf(2, { 2 }, 72), crashOf(3, { 4 }, 73) }, false, false },
 };
 
 }
 
 TEST_GROUP(CrashTable){};
 
-TEST(CrashTable, RefusesARequestUnderWhichThreeServersEnded)
+TEST(CrashTable, RefusesARequestUnderWhichThreeServersCrashed)
 {
     for (const Case& item : Cases) {
         CrashTable table = newTable();
-        for (const ServerEnd& end : item.ends)
-            table.add(Harmful, end, { 0 });
+        for (const ServerEnd& crash : item.crashes)
+            table.add(Harmful, crash, { 0 });
         const CallersRequest request{ .digest = Harmful, .caller = Caller, .hasOneAddress = item.hasOneAddress };
         CHECK_EQUAL_TEXT(item.isRefused, table.isRefused(request, { 10000 }), item.name);
         CHECK_TEXT(!isRefused(table, other(1), { 10000 }), item.name);
@@ -110,56 +111,56 @@
 TEST(CrashTable, AnUnknownDigestIsNeverRefused)
 {
     CrashTable table = newTable();
-    addEnds(table, {}, 1, 5, { 0 });
+    addCrashes(table, {}, 1, 5, { 0 });
     CHECK(!isRefused(table, {}, { 1 }));
     LONGS_EQUAL(0, table.size());
 }
 
-TEST(CrashTable, AnAnswerClearsWhatIsOlder)
+TEST(CrashTable, AnAnswerClearsOlderCrashes)
 {
     CrashTable table = newTable();
-    addEnds(table, Harmful, 1, 2, { 1000 });
+    addCrashes(table, Harmful, 1, 2, { 1000 });
     CHECK(table.answered(Harmful, Caller, { 2000 }, { 2000 }));
     // Late reports and records in the store do not restore cleared crashes.
-    CHECK(!table.add(Harmful, endOf(1, { 1000 }), { 2100 }));
-    CHECK(!table.addKept(Harmful, endOf(2, { 2050 }), { 2100 }));
-    CHECK(table.add(Harmful, endOf(4, { 3000 }), { 3000 }));
+    CHECK(!table.add(Harmful, crashOf(1, { 1000 }), { 2100 }));
+    CHECK(!table.addKept(Harmful, crashOf(2, { 2050 }), { 2100 }));
+    CHECK(table.add(Harmful, crashOf(4, { 3000 }), { 3000 }));
     LONGS_EQUAL(1, table.countedEnds(Harmful));
     CHECK(!table.answered(other(1), Caller, { 2000 }, { 3000 }));
 }
 
-TEST(CrashTable, AnAnswerToAnotherCallerSaysNothingOfThisOne)
+TEST(CrashTable, AnAnswerToAnotherCallerDoesNotClearThisOne)
 {
     CrashTable table = newTable();
-    addEnds(table, Harmful, 1, 3, { 1000 });
+    addCrashes(table, Harmful, 1, 3, { 1000 });
     table.answered(Harmful, OtherCaller, { 2000 }, { 2000 });
     CHECK(isRefused(table, Harmful, { 2000 }));
     CHECK(!isRefused(table, Harmful, { 2000 }, OtherCaller));
 }
 
-TEST(CrashTable, AnAnswerToAnyCallerClearsWhatHoldsForAll)
+TEST(CrashTable, AnAnswerToAnyCallerClearsTheResultForAll)
 {
     CrashTable table = newTable();
     for (std::uint64_t number = 1; number <= 4; ++number)
-        table.add(Harmful, endOf(number, Apart * static_cast<double>(number), 100 + number), { 100 });
+        table.add(Harmful, crashOf(number, Apart * static_cast<double>(number), 100 + number), { 100 });
     CHECK(isRefused(table, Harmful, { 200 }));
     CHECK(table.answered(Harmful, Caller, { 300 }, { 300 }));
     CHECK(!isRefused(table, Harmful, { 300 }));
     CHECK(!table.answered(Harmful, Caller, { 400 }, { 400 }));
 }
 
-TEST(CrashTable, IsRefusedLongerWithEachFurtherEndAndForgottenAfterADay)
+TEST(CrashTable, IsRefusedLongerWithEachFurtherCrashAndForgottenAfterADay)
 {
     CrashTable table = newTable();
-    addEnds(table, Harmful, 1, 3, { 0 });
+    addCrashes(table, Harmful, 1, 3, { 0 });
     CHECK(isRefused(table, Harmful, { 9900 }));
     CHECK(!isRefused(table, Harmful, { 20100 }));
     table.tried(Harmful, { 20100 });
     CHECK(isRefused(table, Harmful, { 20200 }));
-    table.add(Harmful, endOf(4, { 20200 }), { 20200 });
+    table.add(Harmful, crashOf(4, { 20200 }), { 20200 });
     CHECK(isRefused(table, Harmful, Minute * 5));
     CHECK(!isRefused(table, Harmful, Minute * 11));
-    table.add(Harmful, endOf(5, Minute * 11), Minute * 11);
+    table.add(Harmful, crashOf(5, Minute * 11), Minute * 11);
     CHECK(isRefused(table, Harmful, Hour * 2.5));
     table.expire(Hour * 25);
     LONGS_EQUAL(0, table.size());
@@ -170,7 +171,7 @@
     std::vector<double> times;
     for (int instance = 0; instance < 100; ++instance) {
         CrashTable table = newTable("entry-" + std::to_string(instance));
-        addEnds(table, Harmful, 1, 3, { 0 });
+        addCrashes(table, Harmful, 1, 3, { 0 });
         times.push_back(table.refusedUntil(Harmful).count);
     }
     std::sort(times.begin(), times.end());
@@ -182,17 +183,17 @@
 {
     // A service of few servers, most of them down: many callers keep retrying, so that each crash affects many
     // requests.
-    constexpr std::size_t ends = 30;
+    constexpr std::size_t crashes = 30;
     constexpr std::uint64_t neighbours = 100;
     constexpr double meets = 0.15;
-    CrashTable table({ .mostEnds = ends });
+    CrashTable table({ .mostCrashes = crashes });
     Random random(1);
-    for (std::size_t server = 1; server <= ends; ++server) {
+    for (std::size_t server = 1; server <= crashes; ++server) {
         const Milliseconds at = Apart * static_cast<double>(server);
-        table.add(Harmful, endOf(server, at), at);
+        table.add(Harmful, crashOf(server, at), at);
         for (std::uint64_t neighbour = 1; neighbour <= neighbours; ++neighbour) {
             if (random.unit() < meets)
-                table.add(other(neighbour), endOf(server, at), at);
+                table.add(other(neighbour), crashOf(server, at), at);
         }
     }
     std::size_t besideThree = 0;
@@ -206,46 +207,46 @@
     CHECK(isRefused(table, Harmful, { 1000 }));
 }
 
-TEST(CrashTable, TheNextEndTellsTwoApartThatMetAtAllThree)
+TEST(CrashTable, TheNextCrashTellsTwoRequestsWithTheSameThreeCrashesApart)
 {
     CrashTable table = newTable();
-    addEnds(table, Harmful, 1, 3, { 0 });
-    addEnds(table, other(1), 1, 3, { 0 });
+    addCrashes(table, Harmful, 1, 3, { 0 });
+    addCrashes(table, other(1), 1, 3, { 0 });
     CHECK(!isRefused(table, Harmful, { 1000 }));
-    table.add(Harmful, endOf(4, { 200 }), { 200 });
+    table.add(Harmful, crashOf(4, { 200 }), { 200 });
     CHECK(isRefused(table, Harmful, { 300 }));
     CHECK(!isRefused(table, other(1), { 300 }));
 }
 
-TEST(CrashTable, TwoHarmfulOnesThatMeetAreBothFoundWithinThreeMore)
+TEST(CrashTable, TwoHarmfulRequestsAreBothFoundDespiteSharedCrashes)
 {
     CrashTable table = newTable();
-    addEnds(table, Harmful, 1, 6, { 0 });
-    addEnds(table, other(1), 4, 3, { 0 });
+    addCrashes(table, Harmful, 1, 6, { 0 });
+    addCrashes(table, other(1), 4, 3, { 0 });
     std::uint64_t server = 7;
     for (; !isRefused(table, other(1), { 1000 }); ++server)
-        table.add(other(1), endOf(server, Apart * static_cast<double>(server)), { 1000 });
+        table.add(other(1), crashOf(server, Apart * static_cast<double>(server)), { 1000 });
     LONGS_EQUAL(2, server - 7);
     CHECK(isRefused(table, Harmful, { 1000 }));
 }
 
-TEST(CrashTable, HoldsABoundedNumberAndKeepsThoseThatMatter)
+TEST(CrashTable, IsBoundedAndKeepsTheLikeliestCauses)
 {
     CrashTable table({ .mostRequests = 10 });
-    addEnds(table, Harmful, 1, 3, { 0 });
+    addCrashes(table, Harmful, 1, 3, { 0 });
     for (std::uint64_t number = 1; number <= 100; ++number)
-        table.add(other(number), endOf(100 + number, { 1000 }), { 1000 });
+        table.add(other(number), crashOf(100 + number, { 1000 }), { 1000 });
     LONGS_EQUAL(10, table.size());
     CHECK(isRefused(table, Harmful, { 1000 }));
-    addEnds(table, Harmful, 200, 100, { 5000 });
+    addCrashes(table, Harmful, 200, 100, { 5000 });
     LONGS_EQUAL(16, table.ends(Harmful).size());
 }
 
-TEST(CrashTable, AttemptsThatSeeTheSameEndGiveItTheSameNumber)
+TEST(CrashTable, AttemptsThatSeeTheSameCrashGetTheSameOrdinal)
 {
     CrashTable table = newTable();
     LONGS_EQUAL(1, table.nextOrdinal(Harmful, 1, { 1000 }));
-    table.add(Harmful, endOf(1, { 1000 }), { 1000 });
+    table.add(Harmful, crashOf(1, { 1000 }), { 1000 });
     LONGS_EQUAL(1, table.nextOrdinal(Harmful, 1, { 1010 }));
     LONGS_EQUAL(2, table.nextOrdinal(Harmful, 1, { 4000 }));
     LONGS_EQUAL(1, table.nextOrdinal(Harmful, 2, { 4000 }));
--- a/Tests/Limits/LimitBookTest.cpp
+++ b/Tests/Limits/LimitBookTest.cpp
@@ -13,14 +13,14 @@
 
 namespace {
 
-enum class Way {
-    Heard, // an answer with a limit
-    Answered, // an answer without a limit
-    Told // a report from another instance
+enum class Source {
+    Limit, // an answer with a limit
+    NoLimit, // an answer without a limit
+    Peer // a report from another instance
 };
 
 struct Statement {
-    Way way = Way::Heard;
+    Source source = Source::Limit;
     std::uint64_t life = 1;
     std::optional<double> limit;
     double sentAt = 0; // when the answered request was sent
@@ -35,54 +35,54 @@
 };
 
 const std::vector<Case> Cases{
-    { "one limit", { { Way::Heard, 1, 3, 0, 10 } }, 3 },
-    { "a lower limit from an older request", { { Way::Heard, 1, 3, 0, 10 }, { Way::Heard, 1, 2, 5, 20 } }, 2 },
-    { "a higher limit from an older request", { { Way::Heard, 1, 3, 0, 10 }, { Way::Heard, 1, 8, 5, 20 } }, 3 },
-    { "a higher limit from a later request", { { Way::Heard, 1, 3, 0, 10 }, { Way::Heard, 1, 8, 15, 20 } }, 8 },
-    { "no limit from an older request", { { Way::Heard, 1, 3, 0, 10 }, { Way::Answered, 1, {}, 5, 20 } }, 3 },
-    { "no limit from a later request", { { Way::Heard, 1, 3, 0, 10 }, { Way::Answered, 1, {}, 15, 20 } }, {} },
-    { "an answer without a limit before any limit", { { Way::Answered, 1, {}, 5, 20 } }, {} },
+    { "one limit", { { Source::Limit, 1, 3, 0, 10 } }, 3 },
+    { "a lower limit from an older request", { { Source::Limit, 1, 3, 0, 10 }, { Source::Limit, 1, 2, 5, 20 } }, 2 },
+    { "a higher limit from an older request", { { Source::Limit, 1, 3, 0, 10 }, { Source::Limit, 1, 8, 5, 20 } }, 3 },
+    { "a higher limit from a later request", { { Source::Limit, 1, 3, 0, 10 }, { Source::Limit, 1, 8, 15, 20 } }, 8 },
+    { "no limit from an older request", { { Source::Limit, 1, 3, 0, 10 }, { Source::NoLimit, 1, {}, 5, 20 } }, 3 },
+    { "no limit from a later request", { { Source::Limit, 1, 3, 0, 10 }, { Source::NoLimit, 1, {}, 15, 20 } }, {} },
+    { "an answer without a limit before any limit", { { Source::NoLimit, 1, {}, 5, 20 } }, {} },
     { "a limit after the end of another",
-        { { Way::Heard, 1, 3, 0, 10 }, { Way::Answered, 1, {}, 15, 20 }, { Way::Heard, 1, 4, 16, 30 } }, 4 },
-    { "a limit of zero", { { Way::Heard, 1, 0, 0, 10 } }, 0 },
-    { "a later life", { { Way::Heard, 1, 3, 0, 10 }, { Way::Heard, 2, 9, 5, 20 } }, {}, 1 },
-    { "a late report of an earlier life", { { Way::Heard, 2, 9, 0, 10 }, { Way::Heard, 1, 3, 15, 20 } }, 9, 2 },
-    { "an answer of a later life without a limit", { { Way::Heard, 1, 3, 0, 10 }, { Way::Answered, 2, {}, 15, 20 } },
-        {} },
-    { "a limit from another instance", { { Way::Told, 1, 5, 0, 10 } }, 5 },
-    { "an end from another instance, within the margin", { { Way::Heard, 1, 3, 0, 10 }, { Way::Told, 1, {}, 0, 60 } },
-        3 },
-    { "an end from another instance, after the margin", { { Way::Heard, 1, 3, 0, 10 }, { Way::Told, 1, {}, 0, 160 } },
-        {} },
-    { "an older limit from another instance", { { Way::Heard, 1, 3, 0, 100 }, { Way::Told, 1, 1, 0, 50 } }, 3 },
+        { { Source::Limit, 1, 3, 0, 10 }, { Source::NoLimit, 1, {}, 15, 20 }, { Source::Limit, 1, 4, 16, 30 } }, 4 },
+    { "a limit of zero", { { Source::Limit, 1, 0, 0, 10 } }, 0 },
+    { "a later life", { { Source::Limit, 1, 3, 0, 10 }, { Source::Limit, 2, 9, 5, 20 } }, {}, 1 },
+    { "a late report of an earlier life", { { Source::Limit, 2, 9, 0, 10 }, { Source::Limit, 1, 3, 15, 20 } }, 9, 2 },
+    { "an answer of a later life without a limit",
+        { { Source::Limit, 1, 3, 0, 10 }, { Source::NoLimit, 2, {}, 15, 20 } }, {} },
+    { "a limit from another instance", { { Source::Peer, 1, 5, 0, 10 } }, 5 },
+    { "an end from another instance, within the margin",
+        { { Source::Limit, 1, 3, 0, 10 }, { Source::Peer, 1, {}, 0, 60 } }, 3 },
+    { "an end from another instance, after the margin",
+        { { Source::Limit, 1, 3, 0, 10 }, { Source::Peer, 1, {}, 0, 160 } }, {} },
+    { "an older limit from another instance", { { Source::Limit, 1, 3, 0, 100 }, { Source::Peer, 1, 1, 0, 50 } }, 3 },
 };
 
 }
 
 TEST_GROUP(LimitBook){};
 
-TEST(LimitBook, KeepsWhatWasSaidLast)
+TEST(LimitBook, KeepsTheLatestValidReport)
 {
     for (const Case& item : Cases) {
-        LimitBook book({});
-        for (const Statement& said : item.statements) {
-            if (said.way == Way::Heard)
-                book.heard("s", said.life, *said.limit, { said.sentAt }, { said.at });
-            else if (said.way == Way::Answered)
-                book.answered("s", said.life, { said.sentAt });
+        LimitBook registry({});
+        for (const Statement& statement : item.statements) {
+            if (statement.source == Source::Limit)
+                registry.heard("s", statement.life, *statement.limit, { statement.sentAt }, { statement.at });
+            else if (statement.source == Source::NoLimit)
+                registry.answered("s", statement.life, { statement.sentAt });
             else
-                book.told("s", { .life = said.life, .perSecond = said.limit, .at = { said.at } });
+                registry.told("s", { .life = statement.life, .perSecond = statement.limit, .at = { statement.at } });
         }
-        CHECK_TEXT(book.limitOf("s", item.life) == item.holds, item.name);
+        CHECK_TEXT(registry.limitOf("s", item.life) == item.holds, item.name);
     }
 }
 
 TEST(LimitBook, ForgetsTheOldestServer)
 {
-    LimitBook book({ .mostServers = 2 });
-    book.heard("a", 1, 1, {}, { 1 });
-    book.heard("b", 1, 1, {}, { 2 });
-    book.heard("c", 1, 1, {}, { 3 });
-    CHECK(!book.limitOf("a", 1));
-    CHECK(book.limitOf("c", 1).has_value());
+    LimitBook registry({ .mostServers = 2 });
+    registry.heard("a", 1, 1, {}, { 1 });
+    registry.heard("b", 1, 1, {}, { 2 });
+    registry.heard("c", 1, 1, {}, { 3 });
+    CHECK(!registry.limitOf("a", 1));
+    CHECK(registry.limitOf("c", 1).has_value());
 }
--- a/Tests/Limits/PermitScheduleTest.cpp
+++ b/Tests/Limits/PermitScheduleTest.cpp
@@ -18,7 +18,7 @@
 struct Case {
     const char* name;
     double limit; // requests a second
-    double asks; // requests for permits, a second
+    double requests; // requests for permits, a second
     Milliseconds patience;
 };
 
@@ -46,7 +46,7 @@
         Random random(1);
         PermitSchedule schedule;
         std::vector<double> granted;
-        for (Milliseconds now; now < Watched; now = now + Milliseconds{ random.exponential(1000 / item.asks) }) {
+        for (Milliseconds now; now < Watched; now = now + Milliseconds{ random.exponential(1000 / item.requests) }) {
             const auto grant = schedule.grant(
                 { .backendServer = "s", .life = 1, .perSecond = item.limit, .patience = item.patience }, now);
             if (grant.isGranted)
--- a/Tests/Measurement/ProbeDeskTest.cpp
+++ b/Tests/Measurement/ProbeDeskTest.cpp
@@ -37,52 +37,52 @@
 constexpr int SecondMilliseconds = 1000;
 
 /** All instances of a fleet, each of which wants to probe the same server in dc-0. */
-class AskingFleet {
+class ProbingFleet {
 public:
-    explicit AskingFleet(const Case& item)
+    explicit ProbingFleet(const Case& item)
         : share(item.share)
     {
         for (std::size_t instance = 0; instance < item.instances; ++instance) {
             this->randoms.push_back(std::make_unique<Random>(instance));
             const std::string dataCentre = "dc-" + std::to_string(instance % item.dataCentres);
-            this->desks.push_back(std::make_unique<ProbeDesk>(
+            this->managers.push_back(std::make_unique<ProbeDesk>(
                 ProbeDesk::Options{ .fleetPerSecond = item.perSecond, .dataCentre = dataCentre },
                 *this->randoms.back()));
-            this->desks.back()->setFleet(item.instances, item.dataCentres);
+            this->managers.back()->setFleet(item.instances, item.dataCentres);
         }
     }
 
     /** Lets each instance try to send a probe; returns how many did. */
-    int askAt(Milliseconds now)
+    int probeAt(Milliseconds now)
     {
-        int asking = 0;
-        for (const auto& desk : this->desks) {
-            const auto probe = desk->start(this->asked, "/load", this->share, now);
+        int sent = 0;
+        for (const auto& manager : this->managers) {
+            const auto probe = manager->start(this->asked, "/load", this->share, now);
             if (!probe)
                 continue;
-            ++asking;
-            desk->ended(probe->number);
+            ++sent;
+            manager->ended(probe->number);
         }
-        return asking;
+        return sent;
     }
 
 private:
     double share;
     std::shared_ptr<BackendServerState> asked = server("s1", "dc-0");
     std::vector<std::unique_ptr<Random>> randoms;
-    std::vector<std::unique_ptr<ProbeDesk>> desks;
+    std::vector<std::unique_ptr<ProbeDesk>> managers;
 };
 
 /** The maximum number of probes within any second when each instance tries every `every` milliseconds. */
 int mostInAnySecond(const Case& item, int every)
 {
-    AskingFleet fleet(item);
+    ProbingFleet fleet(item);
     std::vector<int> at(SpanMilliseconds, 0);
     int within = 0;
     int most = 0;
     for (int now = 0; now < SpanMilliseconds; ++now) {
         if (now % every == 0)
-            at[now] = fleet.askAt({ static_cast<double>(now) });
+            at[now] = fleet.probeAt({ static_cast<double>(now) });
         within += at[now];
         if (now >= SecondMilliseconds)
             within -= at[now - SecondMilliseconds];
@@ -97,15 +97,15 @@
     constexpr int milliseconds = 20000;
     const auto asked = server("s1", "dc-0");
     Random random(1);
-    ProbeDesk desk({ .fleetPerSecond = item.perSecond, .dataCentre = dataCentre }, random);
-    desk.setFleet(item.instances, item.dataCentres);
+    ProbeDesk manager({ .fleetPerSecond = item.perSecond, .dataCentre = dataCentre }, random);
+    manager.setFleet(item.instances, item.dataCentres);
     int probes = 0;
     for (int now = 0; now < milliseconds; ++now) {
-        const auto probe = desk.start(asked, "/load", item.share, { static_cast<double>(now) });
+        const auto probe = manager.start(asked, "/load", item.share, { static_cast<double>(now) });
         if (!probe)
             continue;
         ++probes;
-        desk.ended(probe->number);
+        manager.ended(probe->number);
     }
     return probes;
 }
@@ -126,7 +126,7 @@
 }
 
 // In a large fleet each instance gets few requests, so that even its first one must be allowed to probe some servers.
-TEST(ProbeDesk, AtTheFirstMomentAnInstanceOfALargeFleetMayAskSomeOfTheServersNearby)
+TEST(ProbeDesk, AnInstanceOfALargeFleetMayProbeSomeNearbyServersFromTheStart)
 {
     constexpr std::size_t servers = 18;
     constexpr int fewestInTheMean = 3;
@@ -134,37 +134,37 @@
     int asked = 0;
     Random random(1);
     for (std::size_t instance = 0; instance < fleet; ++instance) {
-        ProbeDesk desk({ .fleetPerSecond = 60, .dataCentre = "dc-1" }, random);
-        desk.setFleet(fleet, 6);
+        ProbeDesk manager({ .fleetPerSecond = 60, .dataCentre = "dc-1" }, random);
+        manager.setFleet(fleet, 6);
         for (std::size_t each = 0; each < servers; ++each)
-            asked += desk.start(server(("s" + std::to_string(each)).c_str()), "/load", 1, { 5 }) ? 1 : 0;
+            asked += manager.start(server(("s" + std::to_string(each)).c_str()), "/load", 1, { 5 }) ? 1 : 0;
     }
     CHECK(asked >= fewestInTheMean * static_cast<int>(fleet));
 }
 
-TEST(ProbeDesk, InstancesNearbyMayAskMore)
+TEST(ProbeDesk, InstancesInTheSameDataCentreMayProbeMore)
 {
     const Case item{ "eighteen", 18, 4, 60, 1 };
     CHECK(probesFrom(item, "dc-0") > 5 * probesFrom(item, "dc-1"));
 }
 
-TEST(ProbeDesk, NeverAsksAServerTwiceAtTheSameTime)
+TEST(ProbeDesk, NeverProbesAServerTwiceAtTheSameTime)
 {
     Random random(1);
-    ProbeDesk desk({ .fleetPerSecond = 1000 }, random);
+    ProbeDesk manager({ .fleetPerSecond = 1000 }, random);
     const auto asked = server("s1");
-    const auto probe = desk.start(asked, "/load", 1, { 0 });
+    const auto probe = manager.start(asked, "/load", 1, { 0 });
     CHECK(probe.has_value());
-    CHECK(desk.isUnderWay("s1"));
-    CHECK_FALSE(desk.start(asked, "/load", 1, { 500 }).has_value());
-    CHECK(desk.ended(probe->number) == asked);
-    CHECK_FALSE(desk.isUnderWay("s1"));
-    CHECK_TEXT(!desk.ended(probe->number), "a probe ends once");
+    CHECK(manager.isInFlight("s1"));
+    CHECK_FALSE(manager.start(asked, "/load", 1, { 500 }).has_value());
+    CHECK(manager.ended(probe->number) == asked);
+    CHECK_FALSE(manager.isInFlight("s1"));
+    CHECK_TEXT(!manager.ended(probe->number), "a probe ends once");
 }
 
-TEST(ProbeDesk, AsksNobodyWithoutAPath)
+TEST(ProbeDesk, SendsNoProbeWithoutAPath)
 {
     Random random(1);
-    ProbeDesk desk({}, random);
-    CHECK_FALSE(desk.start(server("s1"), "", 1, { 0 }).has_value());
+    ProbeDesk manager({}, random);
+    CHECK_FALSE(manager.start(server("s1"), "", 1, { 0 }).has_value());
 }
--- a/Tests/Measurement/ServerSearchTest.cpp
+++ b/Tests/Measurement/ServerSearchTest.cpp
@@ -72,7 +72,7 @@
 
 // Guards against sending requests to servers that are slowed down by noisy neighbours: for 150 ms three of ten servers
 // take five times as long. A request that starts there stays slow, is late and occupies one of two slots meanwhile.
-TEST(ServerSearch, ARequestIsHeldBackFromAServerWhereItWouldBeLate)
+TEST(ServerSearch, HoldsARequestBackFromAServerWhereItWouldBeLate)
 {
     for (const Case& item : Cases) {
         const auto pool = poolOf({ "s1" });
@@ -86,7 +86,7 @@
     }
 }
 
-TEST(ServerSearch, AServerThatWasNotHeardIsAskedBeforeItIsChosen)
+TEST(ServerSearch, AServerWithoutARecentReportIsNotChosen)
 {
     const auto pool = poolOf({ "s1" });
     const ChoiceWish wish{ .onlyHeard = true };
@@ -96,7 +96,7 @@
     CHECK(pool->choose(wish, context, this->random).server != nullptr);
 }
 
-TEST(ServerSearch, AsksInRoundsUntilTheyAreOver)
+TEST(ServerSearch, ProbesInABoundedNumberOfRounds)
 {
     const auto pool = poolOf({ "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8" });
     RequestSearch request = this->begin();
--- a/Tests/Routing/ColdStartShareTest.cpp
+++ b/Tests/Routing/ColdStartShareTest.cpp
@@ -138,13 +138,13 @@
     }
 }
 
-TEST(ColdStartShare, APartThatIsSavedUpBreaksTheBoundInLargeFleets)
+TEST(ColdStartShare, SavedBudgetsExceedTheBoundInLargeFleets)
 {
     CHECK(mostInAnySecond(naiveFleet(Cases[2]), 10) > Cases[2].perSecond * Overage + Slack);
     CHECK(mostInAnySecond(naiveFleet(Cases[3]), 10) > Cases[3].perSecond * Overage + Slack);
 }
 
-TEST(ColdStartShare, MostOfWhatTheServerBearsIsUsed)
+TEST(ColdStartShare, MostOfTheRateIsUsed)
 {
     constexpr double usedAtLeast = 0.5;
     for (const Case& item : Cases) {
--- a/Tests/Routing/NoticeBookTest.cpp
+++ b/Tests/Routing/NoticeBookTest.cpp
@@ -13,7 +13,7 @@
 /** Notices of shutdown by lives of one server, in this order, and whether a life then counts as leaving. */
 struct Case {
     const char* name;
-    std::vector<std::uint64_t> said;
+    std::vector<std::uint64_t> notices;
     std::uint64_t life;
     bool isLeaving;
 };
@@ -31,50 +31,50 @@
 
 TEST_GROUP(NoticeBook){};
 
-TEST(NoticeBook, KnowsOfEachLifeWhatItSaid)
+TEST(NoticeBook, KeepsNoticesByLife)
 {
     for (const Case& item : Cases) {
-        NoticeBook book({});
-        for (const std::uint64_t life : item.said)
-            book.heardLeaving("s1", life, { 10 });
-        CHECK_EQUAL_TEXT(item.isLeaving, book.isLeaving("s1", item.life), item.name);
-        CHECK_FALSE_TEXT(book.isLeaving("s2", item.life), item.name);
+        NoticeBook registry({});
+        for (const std::uint64_t life : item.notices)
+            registry.heardLeaving("s1", life, { 10 });
+        CHECK_EQUAL_TEXT(item.isLeaving, registry.isLeaving("s1", item.life), item.name);
+        CHECK_FALSE_TEXT(registry.isLeaving("s2", item.life), item.name);
     }
 }
 
-TEST(NoticeBook, IsNewsOnce)
+TEST(NoticeBook, ReportsANoticeAsNewOnce)
 {
-    NoticeBook book({});
-    CHECK(book.heardLeaving("s1", 5, { 10 }));
-    CHECK_FALSE(book.heardLeaving("s1", 5, { 20 }));
-    CHECK_FALSE(book.heardLeaving("s1", 4, { 30 }));
-    CHECK(book.heardLeaving("s1", 6, { 40 }));
+    NoticeBook registry({});
+    CHECK(registry.heardLeaving("s1", 5, { 10 }));
+    CHECK_FALSE(registry.heardLeaving("s1", 5, { 20 }));
+    CHECK_FALSE(registry.heardLeaving("s1", 4, { 30 }));
+    CHECK(registry.heardLeaving("s1", 6, { 40 }));
 }
 
-TEST(NoticeBook, ForgetsWhatWasHeardLongestAgoWhenItIsFull)
+TEST(NoticeBook, DropsTheOldestEntryWhenFull)
 {
-    NoticeBook book({ .mostLives = 100 });
+    NoticeBook registry({ .maxEntries = 100 });
     for (int server = 0; server < 100; ++server)
-        book.heardLeaving("s" + std::to_string(server), 1, { static_cast<double>(server) });
-    book.heardLeaving("s0", 1, { 200 });
-    book.heardLeaving("last", 1, { 300 });
-    CHECK(book.isLeaving("s0", 1));
-    CHECK_FALSE(book.isLeaving("s1", 1));
-    CHECK(book.isLeaving("s2", 1));
-    CHECK(book.isLeaving("last", 1));
+        registry.heardLeaving("s" + std::to_string(server), 1, { static_cast<double>(server) });
+    registry.heardLeaving("s0", 1, { 200 });
+    registry.heardLeaving("last", 1, { 300 });
+    CHECK(registry.isLeaving("s0", 1));
+    CHECK_FALSE(registry.isLeaving("s1", 1));
+    CHECK(registry.isLeaving("s2", 1));
+    CHECK(registry.isLeaving("last", 1));
 }
 
 TEST(NoticeBook, KeepsTheLatestEndOfAPauseOfALife)
 {
-    NoticeBook book({});
-    CHECK(book.pausedUntil("s1", 5) == LongAgo);
-    CHECK(book.heardPause("s1", 5, { 500 }, { 10 }));
-    CHECK_FALSE_TEXT(book.heardPause("s1", 5, { 400 }, { 20 }), "a shorter pause does not replace a longer one");
-    CHECK(book.pausedUntil("s1", 5) == Milliseconds{ 500 });
-    CHECK(book.heardPause("s1", 5, { 900 }, { 30 }));
-    CHECK(book.pausedUntil("s1", 6) == LongAgo);
-    CHECK_FALSE_TEXT(book.heardPause("s1", 4, { 2000 }, { 40 }), "a pause of an earlier life");
-    CHECK(book.heardPause("s1", 6, { 600 }, { 50 }));
-    CHECK(book.pausedUntil("s1", 6) == Milliseconds{ 600 });
-    CHECK(book.pausedUntil("s1", 5) == LongAgo);
+    NoticeBook registry({});
+    CHECK(registry.pausedUntil("s1", 5) == LongAgo);
+    CHECK(registry.heardPause("s1", 5, { 500 }, { 10 }));
+    CHECK_FALSE_TEXT(registry.heardPause("s1", 5, { 400 }, { 20 }), "a shorter pause does not replace a longer one");
+    CHECK(registry.pausedUntil("s1", 5) == Milliseconds{ 500 });
+    CHECK(registry.heardPause("s1", 5, { 900 }, { 30 }));
+    CHECK(registry.pausedUntil("s1", 6) == LongAgo);
+    CHECK_FALSE_TEXT(registry.heardPause("s1", 4, { 2000 }, { 40 }), "a pause of an earlier life");
+    CHECK(registry.heardPause("s1", 6, { 600 }, { 50 }));
+    CHECK(registry.pausedUntil("s1", 6) == Milliseconds{ 600 });
+    CHECK(registry.pausedUntil("s1", 5) == LongAgo);
 }
--- a/Tests/Routing/RouteTableTest.cpp
+++ b/Tests/Routing/RouteTableTest.cpp
@@ -72,7 +72,7 @@
     STRCMP_EQUAL("417", table.find("a.example", "GET", "/p417/x")->name.c_str());
 }
 
-TEST(RouteTable, WeightsAreKeptAtEveryMoment)
+TEST(RouteTable, WeightsHoldAtAnyTime)
 {
     const std::vector<WeightedService> parts{ { .service = "a", .weight = 90 }, { .service = "b", .weight = 9 },
         { .service = "c", .weight = 1 } };
@@ -109,7 +109,7 @@
     }
 }
 
-TEST(RouteTable, TurnsAreKeptWhileTheWeightsStay)
+TEST(RouteTable, IsKeptWhileTheWeightsAreUnchanged)
 {
     const std::vector<WeightedService> parts{ { .service = "a", .weight = 1 }, { .service = "b", .weight = 3 } };
     const std::vector<WeightedService> others{ { .service = "a", .weight = 2 }, { .service = "b", .weight = 3 } };
--- a/Tests/Routing/ServicePoolTest.cpp
+++ b/Tests/Routing/ServicePoolTest.cpp
@@ -80,7 +80,7 @@
     }
 };
 
-TEST(ServicePool, PrefersWhatFreshFiguresShow)
+TEST(ServicePool, PrefersTheBetterServerByFreshReports)
 {
     for (const Case& item : Cases) {
         ServicePool two(std::make_unique<LoadAwarePolicy>(), {});
@@ -97,7 +97,7 @@
 
 // Guards against scoring a sample of the pool only: with 92 servers, four of five choices then missed the servers that
 // had just been probed.
-TEST(ServicePool, FindsTheFewFreshFiguresInALargePool)
+TEST(ServicePool, FindsTheFewFreshReportsInALargePool)
 {
     constexpr int servers = 92;
     for (int number = 0; number < servers; ++number) {
@@ -127,7 +127,7 @@
     CHECK(this->pool.choose({}, this->context, this->random).reason == NoChoice::NobodyTakes);
 }
 
-TEST(ServicePool, ItIsToldWhenAllAreLeaving)
+TEST(ServicePool, ReportsWhenAllServersAreLeaving)
 {
     this->pool.find("s1")->setLeaving();
     this->pool.find("s2")->setLeaving();
@@ -178,7 +178,7 @@
     CHECK_FALSE(this->pool.find("s1")->isOnTrial());
 }
 
-TEST(ServicePool, RatherATriedOrAnEjectedServerThanNone)
+TEST(ServicePool, ChoosesATriedOrEjectedServerIfThereIsNoOther)
 {
     this->fail("s1", 3);
     this->pool.remove("s2");
@@ -188,7 +188,7 @@
     STRCMP_EQUAL("", this->chosen({ .tried = tried, .onlyUntried = true }).c_str());
 }
 
-TEST(ServicePool, ARefusalRestsTheServerForAMoment)
+TEST(ServicePool, ARefusalKeepsRequestsAwayForAShortTime)
 {
     const auto server = this->pool.find("s1");
     server->sent(1, this->context.now);
@@ -198,27 +198,27 @@
     CHECK(this->timesChosen("s1") > 0);
 }
 
-TEST(ServicePool, AContradictedReportCountsForNothing)
+TEST(ServicePool, IgnoresReportsThatContradictRequestsInFlight)
 {
     this->pool.remove("s3");
     const auto liar = this->pool.find("s1");
     for (AttemptNumber attempt = 1; attempt <= 2; ++attempt)
         liar->sent(attempt, { 900 });
     liar->reported({ 0, 0, 3, 100 }, this->context.now);
-    CHECK_FALSE_TEXT(liar->reportIsTrusted(this->context.now), "two requests of this instance alone are in flight");
-    CHECK(liar->reportIsTrusted({ 5000 }));
+    CHECK_FALSE_TEXT(liar->isReportTrusted(this->context.now), "two requests of this instance alone are in flight");
+    CHECK(liar->isReportTrusted({ 5000 }));
     const auto honest = this->pool.find("s2");
     honest->sent(3, { 900 });
     honest->reported({ 1, 0, 3, 100 }, this->context.now);
-    CHECK(honest->reportIsTrusted(this->context.now));
+    CHECK(honest->isReportTrusted(this->context.now));
     honest->sent(4, this->context.now);
     honest->reported({ 1, 0, 3, 100 }, this->context.now);
-    CHECK_TEXT(honest->reportIsTrusted(this->context.now), "the last one may not have reached the server yet");
+    CHECK_TEXT(honest->isReportTrusted(this->context.now), "the last one may not have reached the server yet");
 }
 
 // Guards against requests that wait for ever: no instance probed the full server any more, so none noticed that it had
-// room again (soak test, seed 2).
-TEST(ServicePool, AFullServerOfWhichNothingIsHeardIsTriedByOneRequest)
+// free slots again (soak test, seed 2).
+TEST(ServicePool, AFullServerWithoutRecentReportsGetsOneRequest)
 {
     ServicePool single(std::make_unique<LoadAwarePolicy>(), {});
     single.put(record("only"), { 0 });
@@ -233,7 +233,7 @@
 
 // Three of four servers that announced a shutdown but kept running got no requests for ever (soak test, seed 2). Only a
 // new life of such a server gets requests again, whatever its answers to probes say.
-TEST(ServicePool, AServerThatSaidItWasLeavingIsUsedAgainInANewLifeOnly)
+TEST(ServicePool, AServerThatAnnouncedItsShutdownIsUsedAgainOnlyInANewLife)
 {
     BackendServerRecord server = record("s1");
     this->pool.find("s1")->setLeaving();
@@ -249,7 +249,7 @@
 
 // Guards against choosing servers that never reported: among many of them, one always scores a little better than the
 // few that were probed.
-TEST(ServicePool, AtTheBeginningThoseWithFreshFiguresGoBeforeThoseNeverHeard)
+TEST(ServicePool, PrefersServersWithFreshReportsOverThoseWithoutAny)
 {
     constexpr int others = 30;
     for (int other = 0; other < others; ++other)
@@ -276,10 +276,10 @@
     CHECK(this->pool.choose({}, this->context, this->random).reason == NoChoice::Full);
 }
 
-TEST(ServicePool, TheBestAreWorthKnowingFirst)
+TEST(ServicePool, ProbesTheBestServersFirst)
 {
     this->pool.find("s1")->reported({ 3, 2, 3, 500 }, this->context.now);
-    const auto worth = this->pool.worthKnowing(2, this->context, this->random);
+    const auto worth = this->pool.probeCandidates(2, this->context, this->random);
     LONGS_EQUAL(2, worth.size());
     for (const auto& server : worth)
         CHECK(server->id() != "s1");
@@ -300,23 +300,23 @@
 TEST(ServicePool, LeavesTheLastSlotFreeWhereItSlowsTheServerDown)
 {
     for (const double slowdown : { 1.0, 1.2, 1.3, 1.7 }) {
-        CrowdingEstimate crowding;
+        SaturationEstimate crowding;
         for (int sample = 0; sample < 30; ++sample) {
             crowding.add(1, 1.0 / 3);
             crowding.add(slowdown, 1);
         }
         DOUBLES_EQUAL(slowdown, crowding.slowdown(), 0.01);
-        DOUBLES_EQUAL(slowdown > 1.25 ? 2 : 3, crowding.usefulSlots(3), 0.01);
-        CHECK(crowding.usefulSlots(1) >= 1);
+        DOUBLES_EQUAL(slowdown > 1.25 ? 2 : 3, crowding.slotsToUse(3), 0.01);
+        CHECK(crowding.slotsToUse(1) >= 1);
     }
-    DOUBLES_EQUAL_TEXT(3, CrowdingEstimate().usefulSlots(3), 0, "without samples no slowdown is assumed");
-    CrowdingEstimate crowding;
+    DOUBLES_EQUAL_TEXT(3, SaturationEstimate().slotsToUse(3), 0, "without samples no slowdown is assumed");
+    SaturationEstimate crowding;
     for (int sample = 0; sample < 30; ++sample) {
         crowding.add(1, 0.5);
         crowding.add(1.7, 1);
     }
-    DOUBLES_EQUAL_TEXT(2, crowding.usefulSlots(2), 0, "half of the slots would stay free");
-    DOUBLES_EQUAL(4, crowding.usefulSlots(6), 0);
-    DOUBLES_EQUAL(25, crowding.usefulSlots(32), 0);
-    DOUBLES_EQUAL(1, CrowdingEstimate().usefulSlots(1), 0);
+    DOUBLES_EQUAL_TEXT(2, crowding.slotsToUse(2), 0, "half of the slots would stay free");
+    DOUBLES_EQUAL(4, crowding.slotsToUse(6), 0);
+    DOUBLES_EQUAL(25, crowding.slotsToUse(32), 0);
+    DOUBLES_EQUAL(1, SaturationEstimate().slotsToUse(1), 0);
 }
