--- a/Source/Admission/ComeBackTime.cpp
+++ b/Source/Admission/ComeBackTime.cpp
@@ -16,8 +16,8 @@
 constexpr Milliseconds LongestPauseDelay{ 10000 };
 /**
  * Share of the usual delay when backend servers with free slots refused the request and the retry budget is spent:
- * another try may well succeed, and its answer can still be in time. While all servers of a service refused half of
- * their requests for 8.5 s, 780 of about 9,800 callers were late with the shorter delay and 922 without it.
+ * another try may well succeed, and its answer can still be in time. On a day on which all servers of a service
+ * refused half of their requests for 8.5 s, 780 of about 9,800 callers were late with the shorter delay, 922 without.
  */
 constexpr double EarlyRetryShare = 0.15;
 
--- a/Source/Attempts/AttemptRules.cpp
+++ b/Source/Attempts/AttemptRules.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/** Attempts that provably did not run do not count towards the route's maximum of attempts, so they need their own. */
+/** Attempts that provably did not run do not count towards the route's maximum of attempts, so they have their own. */
 constexpr unsigned MostProvedNotRun = 5;
 
 }
--- a/Source/Crashes/BrokenAttempts.h
+++ b/Source/Crashes/BrokenAttempts.h
@@ -55,8 +55,8 @@
     explicit BrokenAttempts(Options options);
 
     /**
-     * Adds an attempt. True when its server should be checked now; false while a check is pending, or when too many
-     * attempts wait.
+     * Adds an attempt. True when its server should be checked now; false while a check is pending, when the request
+     * has no digest, or when too many attempts wait.
      */
     bool add(const BrokenAttempt& attempt, Milliseconds now);
     /** The server has crashed: removes its attempts and returns them. */
--- a/Source/Crashes/CrashTable.h
+++ b/Source/Crashes/CrashTable.h
@@ -34,9 +34,9 @@
  *   what others sent. If several callers sent the same request and none had an answer, their crashes are evaluated
  *   together, and the result applies to all callers.
  * - A crash does not count against a request if another request, under which three or more servers crashed, was there
- *   too and has more crashes, as that one is the likelier cause. Of 100 requests that were each present at 15 % of the
- *   30 crashes caused by one other request, 76 were present at three or more; none is refused with this rule
- *   (CrashTable test). All crashes that are explained in this way count as one if there are several, so that two
+ *   too and has more crashes, as that one is the likelier cause. Of 100 requests, each present with a probability of
+ *   15 % at each of 30 crashes caused by one other request, 76 were present at three or more; none is refused with this
+ *   rule (CrashTable test). All crashes that are explained in this way count as one if there are several, so that two
  *   requests that both crash servers are both found.
  *
  * Output: a request that is found to crash servers is refused for some time after its last crash. Then it may be tried
@@ -64,8 +64,7 @@
         Milliseconds firstRefusal{ 10000 };
         double refusalGrowth = 30;
         Milliseconds longestRefusal{ 86400000 };
-        double refusalSpread
-            = 1; // random share added to the time, by instance: the first one to try informs the others
+        double refusalSpread = 1; // random share of the time, by instance: the first to try informs the others
         /** Minimum time between two tries by this instance, for when a try shows neither an answer nor a crash. */
         Milliseconds minTryInterval{ 5000 };
         /** How long an answer is kept: other instances may still send older crashes of the request for this long. */
--- a/Source/Crashes/RequestDigest.cpp
+++ b/Source/Crashes/RequestDigest.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t PartCount = 5;
 
-/** Each part by itself, so that bytes that move from one part to the next make another request. */
+/** Hashes each part separately, so that bytes moved from one part to the next change the digest. */
 std::array<XXH128_hash_t, PartCount> hashesOf(const RequestIdentity& identity)
 {
     const auto hash = [](std::string_view part) { return XXH3_128bits(part.data(), part.size()); };
--- a/Source/Measurement/ServerSearch.h
+++ b/Source/Measurement/ServerSearch.h
@@ -39,8 +39,7 @@
 public:
     struct Options {
         unsigned askedAtOnce = 6; // servers whose reports should be fresh before a choice
-        std::size_t candidatesPerRound
-            = 24; // best servers considered for a round; one that may not be probed is skipped
+        std::size_t candidatesPerRound = 24; // best servers considered; those that may not be probed are skipped
         unsigned mostRounds = 6; // of probes for one request
         Milliseconds reportFreshFor{ 25 }; // a server with a younger report is not probed again
         Milliseconds reportUsableFor{ 100 }; // a server that may not be probed is replaced only if its report is older
--- a/Source/Routing/BackendServerState.cpp
+++ b/Source/Routing/BackendServerState.cpp
@@ -17,8 +17,8 @@
 /** A load report of at most this age describes the load that an attempt meets at the server. */
 constexpr Milliseconds FreshReportAge{ 30 };
 /**
- * A request that was sent longer ago than this has reached the server. If it were answered, the answer would have
- * arrived by now, or nearly so.
+ * A request that has been in flight for longer than this has reached the server, and the server has not answered it,
+ * or only just now.
  */
 constexpr Milliseconds MaxTransitTime{ 25 };
 /** Load reports of a server are ignored for this long after one that contradicts the requests in flight. */
