--- a/Source/Quotas/CreditBucket.h
+++ b/Source/Quotas/CreditBucket.h
@@ -4,19 +4,19 @@
 
 namespace burlreach {
 
-/** Credit that grows with time up to a bound, and is taken in whole requests. */
+/** A token bucket: credit accrues at a fixed rate up to a maximum and is taken in whole requests. */
 class CreditBucket {
 public:
     struct Rate {
-        double perSecond = 0;
-        double most = 0; // that is saved up
+        double perSecond = 0; // requests
+        double most = 0; // capacity of the bucket, in requests
     };
 
     CreditBucket(double saved, Milliseconds now);
 
-    /** As many of the wanted requests as there is credit for; it is gone then. */
+    /** Adds the credit accrued since the last call, then takes credit for up to `wanted` requests; returns how many. */
     unsigned take(unsigned wanted, const Rate& rate, Milliseconds now);
-    /** Until there is credit for one more request. */
+    /** The time until there is credit for one more request; Never when none accrues. */
     Milliseconds untilNext(const Rate& rate) const;
 
 private:
--- a/Source/Quotas/CreditDesk.cpp
+++ b/Source/Quotas/CreditDesk.cpp
@@ -19,7 +19,7 @@
 
 CreditDecision CreditDesk::refusal(CreditDecision::Outcome outcome, Milliseconds wait)
 {
-    // Spread over as long again, or all that were refused would come back for the same credit.
+    // Up to twice the wait, at random: otherwise all refused callers would retry at once for the same credit.
     const Milliseconds comeBack = std::max(ShortestComeBack, wait) * (1 + this->random->unit());
     return { .outcome = outcome, .grantedAt = {}, .comeBackAfter = comeBack };
 }
@@ -68,7 +68,7 @@
     const auto found = std::find(account.waiting.begin(), account.waiting.end(), request);
     if (found == account.waiting.end())
         return;
-    // Credit that comes for it is used by the next one.
+    // Credit already requested for it goes to the next waiting request.
     account.waiting.erase(found);
 }
 
@@ -121,13 +121,14 @@
 {
     std::vector<Settled> settled;
     const auto found = this->accounts.find(answer.customer);
-    // Credit that came too late is not used: the instance that granted it may have ended meanwhile.
+    // Credit in a late answer is discarded: the granting instance may have lost its role since then.
     if (found == this->accounts.end() || !answer.number || found->second.asked != answer.number)
         return settled;
     if (!answer.isGranting)
         return this->nobodyGrants(now);
     Account& account = found->second;
-    // It was granted at some moment since the question was sent.
+    // The exact time of the grant is unknown. Taking the time when the query was sent, the earliest possible, makes
+    // the credit expire early rather than late.
     const Milliseconds grantedAt = account.answerDue - this->options.answerPatience;
     const std::size_t asked = account.askedFor;
     account.asked = 0;
--- a/Source/Quotas/CreditDesk.h
+++ b/Source/Quotas/CreditDesk.h
@@ -19,50 +19,55 @@
 
 namespace burlreach {
 
-/** What became of a request's wish for credit. */
+/** Whether a request gets credit. */
 struct CreditDecision {
     enum class Outcome {
         Granted,
-        Awaited, // the granting instance is asked
-        Exhausted, // the customer has used up its limit
-        Unconfirmed // nobody could be asked
+        Awaited, // waits for an answer of the granting instance
+        Exhausted, // refused: the customer has used up its limit
+        Unconfirmed // refused: no instance grants credit, or the granting instance does not answer
     };
 
     Outcome outcome = Outcome::Unconfirmed;
-    Milliseconds grantedAt; // of a granted one: the request must reach a backend server within CreditLife
-    Milliseconds comeBackAfter; // of a refused one
+    Milliseconds grantedAt; // if Granted; the request must reach a backend server within CreditLife of this time
+    Milliseconds comeBackAfter; // if refused: when the caller may retry, with jitter
 };
 
 /**
- * Credit for requests of customers with a limit, at the instance that takes
- * the requests: what it was dealt is used first, then the granting instance is
- * asked, for all that wait with one message at a time for each customer.
+ * Obtains credit for the requests that this instance receives from customers with a limit.
+ *
+ * A request first uses credit that is available here: unused credit of earlier requests that has not expired, then
+ * this instance's random share of the budget that needs no grant. Otherwise it waits for credit from the granting
+ * instance. At most one query per customer is under way; it covers all requests of the customer that wait when it is
+ * sent. An answer with less credit than requested refuses all that still wait, and further requests of the customer
+ * until credit is expected again. After several queries in a row without an answer, all waiting requests are refused,
+ * and new ones are refused at once for a short time.
  */
 class CreditDesk {
 public:
     struct Options {
         QuotaBound bound;
-        Milliseconds answerPatience{ 100 }; // 40 ms to another region and back, and a slow processor at either end
-        unsigned mostAsks = 2; // in a row for the same requests
-        Milliseconds silentPause{ 300 }; // a granting instance that was silent is not asked for so long
+        Milliseconds answerPatience{ 100 }; // per query: 40 ms round trip to another region, plus slow processors
+        unsigned mostAsks = 2; // queries in a row without an answer before the waiting requests are refused
+        Milliseconds silentPause{ 300 }; // no query is sent for this long after that
     };
 
-    /** A question for the granting instance. */
+    /** A query to the granting instance. */
     struct Ask {
         std::uint64_t number = 0;
         std::string customer;
         unsigned requests = 0;
     };
 
-    /** The answer to such a question. */
+    /** The answer to a query. */
     struct Answer {
         std::uint64_t number = 0;
         std::string customer;
         CreditGrant grant;
-        bool isGranting = true; // false: the asked instance may not grant
+        bool isGranting = true; // false: the queried instance may not grant
     };
 
-    /** A request that waited. */
+    /** A waiting request with its decision, which is never Awaited. */
     struct Settled {
         RequestNumber request = 0;
         CreditDecision decision;
@@ -70,38 +75,39 @@
 
     CreditDesk(const Options& options, Random& random);
 
-    /** Of the whole fleet, as it is at least; nothing: not known, and nothing is dealt. */
+    /** Sets the least number of instances in the fleet; nullopt: unknown, no credit is used without a grant. */
     void setInstances(std::optional<std::size_t> count) { this->instances = count; }
-    /** Credit for a request that comes now. An awaited one is settled later. */
+    /** Decides on a new request. If it is Awaited, the decision follows from answered(), tick() or nobodyGrants(). */
     CreditDecision request(RequestNumber request, const Customer& customer, Milliseconds now);
-    /** Credit that is here already. */
+    /** Takes credit that is available here and returns when it was granted; nullopt if there is none. */
     std::optional<Milliseconds> takeLocal(const Customer& customer, Milliseconds now);
-    /** A request did not use its credit. */
+    /** Returns the credit of a request that did not reach a backend server. */
     void giveBack(const std::string& customer, Milliseconds grantedAt, Milliseconds now);
-    /** A request that waits is over. */
+    /** Removes a waiting request that has ended. */
     void forget(RequestNumber request, const std::string& customer);
 
-    /** Questions that are due, to be sent at once. */
+    /** The queries to send now. */
     std::vector<Ask> takeAsks(Milliseconds now);
-    /** There is nobody to be asked: all that waits is settled. */
+    /** Refuses all waiting requests, because no instance grants credit or the granting instance does not answer. */
     std::vector<Settled> nobodyGrants(Milliseconds now);
+    /** Handles an answer; returns the requests that it decides. Answers to other queries than the last are ignored. */
     std::vector<Settled> answered(const Answer& answer, Milliseconds now);
-    /** Gives up on answers that did not come. */
+    /** Handles queries that have timed out; returns the requests that are refused for that. */
     std::vector<Settled> tick(Milliseconds now);
     Milliseconds nextDue() const;
-    /** The granting instance has just not answered, or there was none. */
+    /** True for a short time after the granting instance failed to answer, or there was none. */
     bool isSilent(Milliseconds now) const { return now < this->silentUntil; }
 
 private:
-    /** All that is known here of one customer's credit. */
+    /** The credit state of one customer at this instance. */
     struct Account {
         std::deque<RequestNumber> waiting;
-        std::uint64_t asked = 0; // the number of the question under way; 0: none
-        std::size_t askedFor = 0; // requests at the front of those that wait
-        unsigned asks = 0; // in a row without an answer
+        std::uint64_t asked = 0; // the number of the query under way; 0: none
+        std::size_t askedFor = 0; // how many requests that query asks credit for
+        unsigned asks = 0; // queries in a row without an answer
         Milliseconds answerDue = Never;
-        Milliseconds exhaustedUntil = LongAgo;
-        std::deque<Milliseconds> unused; // when each was granted
+        Milliseconds exhaustedUntil = LongAgo; // requests that need a grant are refused until then
+        std::deque<Milliseconds> unused; // when each unused credit was granted, oldest first
     };
 
     CreditDecision refusal(CreditDecision::Outcome outcome, Milliseconds wait);
@@ -113,9 +119,9 @@
     std::optional<std::size_t> instances;
     DealtBudget dealt;
     std::map<std::string, Account> accounts; // by customer
-    std::set<std::string> busy; // customers whose requests wait, or for whom a question is under way
+    std::set<std::string> busy; // customers with waiting requests or a query under way
     std::uint64_t lastAsk = 0;
-    Milliseconds silentUntil = LongAgo; // of the granting instance
+    Milliseconds silentUntil = LongAgo; // end of the pause after the granting instance did not answer
 };
 
 }
--- a/Source/Quotas/CreditGrants.cpp
+++ b/Source/Quotas/CreditGrants.cpp
@@ -7,7 +7,10 @@
 namespace {
 
 constexpr double HalfShare = 0.5;
-/** While two instances may grant, little is saved up: each may have what was granted last at once. */
+/**
+ * The burst in Half mode, as a time at half the rate. It is short because two instances may grant at once, and each
+ * of them may grant its whole burst at once.
+ */
 constexpr Milliseconds SavedByHalf{ 200 };
 
 }
@@ -40,7 +43,7 @@
     const CreditBucket::Rate rate = this->rateOf(plan, mode);
     auto account = this->accounts.find(customer.name);
     if (account == this->accounts.end()) {
-        // Nothing was taken since the beginning, so it fills from there.
+        // The customer took nothing since this instance began to grant, so its bucket has filled since then.
         const CreditBucket fresh(this->beginsFull ? rate.most : 0, this->began);
         const SlidingCount none(this->bound.window);
         account = this->accounts.emplace(customer.name, Account{ .bucket = fresh, .granted = none }).first;
@@ -60,7 +63,7 @@
     const auto account = this->accounts.find(customer);
     if (account == this->accounts.end())
         return 0;
-    // Counting moves its window on.
+    // SlidingCount::count() is not const: it advances the window.
     SlidingCount granted = account->second.granted;
     return granted.count(now);
 }
--- a/Source/Quotas/CreditGrants.h
+++ b/Source/Quotas/CreditGrants.h
@@ -11,31 +11,31 @@
 
 namespace burlreach {
 
-/** How much an instance may grant. */
+/** How much of each customer's limit this instance may grant. */
 enum class GrantMode {
-    None, // another one may grant everything
-    Half, // another one may grant the other half
+    None, // another instance may grant the whole limit
+    Half, // another instance may grant the other half
     Full
 };
 
-/** Credit as it is granted to one instance. */
+/** Credit granted to one instance. */
 struct CreditGrant {
     unsigned amount = 0; // requests
-    Milliseconds wait; // until there is more, when it is less than was asked for
+    Milliseconds wait; // until more credit accrues, when the amount is less than requested
 };
 
-/** The credit of all customers, at the instance that grants it. */
+/** Grants credit to all instances: holds the token buckets of all customers, at the granting instance. */
 class CreditGrants {
 public:
     explicit CreditGrants(const QuotaBound& bound);
 
     /**
-     * This instance begins to grant. Full buckets only when nobody granted
-     * before: what another one granted just then is not known here.
+     * Starts granting, with new buckets. They start full only when no instance granted before (`isFirst`): what a
+     * predecessor granted shortly before is not known here.
      */
     void begin(bool isFirst, Milliseconds now);
     CreditGrant grant(const Customer& customer, unsigned wanted, GrantMode mode, Milliseconds now);
-    /** Requests of this customer in the last span that its limit counts. */
+    /** Requests of this customer that got credit here within the last QuotaBound::window. */
     std::uint64_t granted(const std::string& customer, Milliseconds now) const;
 
 private:
--- a/Source/Quotas/GrantorTenure.cpp
+++ b/Source/Quotas/GrantorTenure.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/** Clocks of machines may run at different speeds by less than this. */
+/** The clocks of two instances run at different speeds by less than this factor. */
 constexpr double ClockMargin = 1.1;
-/** While another instance is named and heard. */
+/** How often to check the holder while it is another instance that is alive. */
 constexpr Milliseconds LookInterval{ 300 };
 
 bool isSameAddress(const peers::Member& left, const peers::Member& right)
@@ -22,7 +22,7 @@
 std::string writeGrantor(const peers::CreditGrantor& grantor)
 {
     std::string text;
-    // A message of plain fields always has a text.
+    // Converting a message with only plain fields to JSON cannot fail.
     static_cast<void>(google::protobuf::util::MessageToJsonString(grantor, &text));
     return text;
 }
@@ -75,7 +75,8 @@
     this->hasGivenUp = false;
     this->nextProof = now;
     const bool isFree = this->before == Predecessor::Nobody || this->before == Predecessor::Gone;
-    // Its last proof is older than this instance's write.
+    // The predecessor's last confirmation is older than this instance's write. So it grants in full for at most fullFor
+    // from now, and half for at most halfFor.
     this->halfFrom = isFree ? now : now + this->options.fullFor * ClockMargin;
     this->fullFrom = isFree ? now : now + this->options.halfFor * ClockMargin;
     this->begunAt = this->halfFrom;
@@ -96,13 +97,13 @@
     if (!around.stored)
         return Predecessor::Nobody;
     if (!this->named)
-        return Predecessor::Uncertain; // removed, or not written by an instance
+        return Predecessor::Uncertain; // the item was removed, or an instance did not write it
     if (this->named->released())
         return Predecessor::Gone;
     const peers::Member& member = this->named->member();
     if (member.incarnation().name() != this->options.self.incarnation().name())
         return this->otherPredecessor(around, now);
-    // This process listens at that address, so the earlier one there has ended.
+    // An earlier run of this instance. If this process now listens at its address, that run has ended.
     return isSameAddress(member, this->options.self) ? Predecessor::Gone : Predecessor::Uncertain;
 }
 
@@ -115,7 +116,8 @@
     if (isLaterLife)
         return Predecessor::Gone;
     const bool isAlive = heard && now - heard->at < this->options.lostAfter && !around.isSilent;
-    // Who has begun to watch just now has not been told of all others, and some are told of few only.
+    // An instance that has only just started to watch has not received messages from all others yet, and an instance
+    // that is not the leading watcher receives them from few.
     const Milliseconds since = std::max(this->namedSince, this->watchingSince);
     const bool isLost = !isAlive && (heard || around.leads) && now - since > this->options.lostAfter;
     return isLost ? Predecessor::Uncertain : Predecessor::Present;
@@ -160,7 +162,7 @@
     }
     const bool isDue = !this->pendingProof && now >= this->nextProof;
     auto proof = isDue ? std::optional(this->askForProof(now)) : std::nullopt;
-    // The answer to a question under way is the next occasion.
+    // While a call is under way, its answer leads to the next check.
     this->lookAgainAt = this->pendingProof ? Never : this->nextProof;
     return proof;
 }
@@ -199,7 +201,7 @@
     if (isNamedThere)
         this->proof = std::max(this->proof, this->proofAskedAt);
     else
-        this->hasGivenUp = true; // another one is named; the watch brings it
+        this->hasGivenUp = true; // another instance is the holder; the watch will deliver the new item
 }
 
 bool GrantorTenure::answered(const StoreAnswer& answer, Milliseconds now)
@@ -212,10 +214,11 @@
         return false;
     this->pending = 0;
     if (answer.status != StoreStatus::Done) {
-        // Turned away it had no effect: what could not be given up is still held.
+        // A refused write had no effect. If it was to release the role, this instance still holds it.
         if (answer.status == StoreStatus::Refused)
             this->hasGivenUp = false;
-        // After a conflict the watch brings what is there; without an answer it may bring what was written.
+        // The watch delivers the present item: after a conflict that of another instance, after a lost answer perhaps
+        // the one written here.
         this->pausedUntil = now + this->backoff.next(*this->random);
         return true;
     }
--- a/Source/Quotas/GrantorTenure.h
+++ b/Source/Quotas/GrantorTenure.h
@@ -17,91 +17,95 @@
 
 namespace burlreach {
 
-/** The key under which the instance that grants credit is named, in every form of the store. */
+/** The store key whose item names the instance that grants credit; the same in every dialect of the store. */
 inline constexpr const char* GrantorKey = "burlreach/credit-grantor";
 
-/** As text, in the JSON mapping. */
+/** Encodes the message as JSON. */
 std::string writeGrantor(const peers::CreditGrantor& grantor);
-/** Nothing when the value was not written by an instance. */
+/** nullopt when the value is not such a message. */
 std::optional<peers::CreditGrantor> readGrantor(const std::string& value);
 
 /**
- * Decides whether this instance grants credit for customers' requests.
+ * Decides whether this instance is the one that grants credit for customers' requests. It works like a lease.
  *
- * The store names the one that does, written under a condition, so two never
- * replace each other unseen. The named one grants while the store has lately
- * proved that it still is; longer without a proof it grants half. Whoever takes
- * its place waits until that is over, or begins at once when the one before has
- * given it up or its process has certainly ended. The leading watcher is named
- * first and stays so while it lives, whoever leads: each change of hands could
- * meet an outage of the store. Any watcher replaces one that is lost.
+ * One item of the store names the holder. It is written only if its revision is unchanged, so two instances cannot
+ * replace each other unnoticed. The holder confirms its role by reading the item at a short interval. It grants in
+ * full while the last confirmation is recent (fullFor), then half until halfFor, then nothing.
+ *
+ * A new holder waits until its predecessor has stopped: it grants half once the predecessor can grant half at most, and
+ * in full once the predecessor can grant nothing. It grants in full at once if the predecessor has released the role,
+ * if its process has certainly ended, or if there was none.
+ *
+ * The leading watcher takes the role first. The holder then keeps it while it lives, whichever instance leads: a store
+ * outage during a change of holder would interrupt granting. Any watcher may replace a holder that is lost.
  */
 class GrantorTenure {
 public:
     struct Options {
         peers::Member self;
         Milliseconds proofInterval{ 300 };
-        Milliseconds fullFor{ 800 }; // since the call was sent that proved it; one answer may fail
-        /** Longer than most outages of the store: without it all customers would be refused while it is away. */
+        Milliseconds fullFor{ 800 }; // since the confirming call was sent; long enough that one call may fail
+        /** Longer than most store outages: without it all customers with a limit would be refused during an outage. */
         Milliseconds halfFor{ 10000 };
-        Milliseconds lostAfter{ 1800 }; // an instance not heard for longer; watchers speak every 1.3 s
-        Milliseconds leaderFirst{ 250 }; // then any watcher takes a free place: the leading one may be about to stop
+        Milliseconds lostAfter{ 1800 }; // without a message, an instance counts as lost; watchers send every 1.3 s
+        Milliseconds leaderFirst{ 250 }; // then any watcher takes a released role: the leading one may be stopping
         Milliseconds answerTimeout{ 1500 };
     };
 
-    /** An instance as it last described itself. */
+    /** The last message of another instance about itself. */
     struct Heard {
         peers::Member member;
         Milliseconds at = LongAgo;
     };
 
-    /** The state around it, as known at the moment. */
+    /** The inputs of a decision. */
     struct Surroundings {
-        const StoreItem* stored = nullptr; // the item of the key, as known here
-        bool leads = false; // this instance leads the watchers
-        bool isWatching = false;
+        const StoreItem* stored = nullptr; // the item under GrantorKey, as known here
+        bool leads = false; // this instance is the leading watcher
+        bool isWatching = false; // this instance watches the store
         bool isNeeded = true; // there are customers with a limit, and this instance is not about to stop
-        bool isSilent = false; // the granting instance has just not answered
+        bool isSilent = false; // the granting instance has just failed to answer a query
         std::function<std::optional<Heard>(const std::string& name)> heard;
     };
 
     GrantorTenure(Options options, StoreCallNumbers& numbers, Random& random);
 
-    /** Looks at what the store says; gives the call to it, if one is needed. */
+    /** Evaluates the present state; returns the next call to the store, if one is due. */
     std::optional<StoreRequest> next(const Surroundings& around, Milliseconds now);
     /** True when the answer belonged to a call of this object. */
     bool answered(const StoreAnswer& answer, Milliseconds now);
-    /** What was written and acknowledged since the last call. */
+    /** The item that this instance wrote, if a write was acknowledged since the last call of this function. */
     std::optional<StoreItem> takeWritten() { return std::exchange(this->written, std::nullopt); }
 
     /** How much this instance may grant now. */
     GrantMode mode(Milliseconds now) const;
-    /** The one named by the store; nothing while none is. */
+    /** The instance that the store names; nullopt while it names none. */
     std::optional<peers::Member> holder() const;
-    /** Where a tenure of this instance began since the last call: when it grants for the first time. */
+    /** If this instance became the holder since the last call of this function: when it may start to grant. */
     std::optional<Milliseconds> takeBegun() { return std::exchange(this->begunAt, std::nullopt); }
-    /** Nobody granted before this tenure. */
+    /** True when no instance granted before this one became the holder. */
     bool isFirst() const { return this->before == Predecessor::Nobody; }
-    /** When next() may have something to do although nothing is heard. */
+    /** When next() must be called again even if no message arrives. */
     Milliseconds nextDue() const { return this->lookAgainAt; }
 
 private:
-    /** What the instance named before may still do. */
+    /** Whether the previous holder may still grant. */
     enum class Predecessor {
-        Nobody, // none was ever named
-        Gone, // it grants nothing: it gave it up, or its process has ended
-        Uncertain, // it may still grant
-        Present // it is there and may go on
+        Nobody, // there was none
+        Gone, // it grants nothing: it released the role, or its process has ended
+        Uncertain, // it does not keep the role, but may still grant
+        Present // it is alive and keeps the role
     };
 
-    /** Reads the item when it is another one than before; begins a tenure when it names this instance. */
+    /** Reads the item if its revision has changed; begins to grant if it names this instance. */
     void look(const StoreItem* stored, Milliseconds now);
     void begin(Milliseconds now);
     bool isNamed() const;
     Predecessor predecessor(const Surroundings& around, Milliseconds now) const;
     Predecessor otherPredecessor(const Surroundings& around, Milliseconds now) const;
-    /** While it is named: the next proof, or the end of it. */
+    /** As the holder: the next call to confirm the role, or to release it when it is no longer needed. */
     std::optional<StoreRequest> keep(const Surroundings& around, Milliseconds now);
+    /** When not the holder: the write that takes the role, if it is free or the holder is lost. */
     std::optional<StoreRequest> replace(const Surroundings& around, Milliseconds now);
     StoreRequest write(const StoreItem* stored, bool isReleased, Milliseconds now);
     StoreRequest askForProof(Milliseconds now);
@@ -111,25 +115,25 @@
     StoreCallNumbers* numbers;
     Random* random;
     Backoff backoff;
-    std::optional<peers::CreditGrantor> named; // by the store
+    std::optional<peers::CreditGrantor> named; // the holder according to the store
     StoreRevision namedAt = 0; // the revision of that item
-    Milliseconds namedSince = LongAgo; // seen here
+    Milliseconds namedSince = LongAgo; // when this instance saw that revision first
     Milliseconds lookAgainAt = Never;
-    Milliseconds pausedUntil = LongAgo; // after a call that failed
-    StoreCallNumber pending = 0; // a write
-    StoreCallNumber pendingProof = 0;
-    Milliseconds askedAt; // of the pending write
+    Milliseconds pausedUntil = LongAgo; // backoff after a failed write
+    StoreCallNumber pending = 0; // the write under way; 0: none
+    StoreCallNumber pendingProof = 0; // the confirming read under way; 0: none
+    Milliseconds askedAt; // when the pending write was sent
     Milliseconds proofAskedAt = LongAgo;
     Milliseconds nextProof = LongAgo;
     Milliseconds watchingSince = LongAgo;
-    std::string value; // being written
+    std::string value; // of the pending write
     std::optional<StoreItem> written;
-    bool hasGivenUp = false; // nothing more is granted under the item that is there
-    Predecessor before = Predecessor::Uncertain; // as it was when this instance wrote
+    bool hasGivenUp = false; // this instance grants nothing more under the present item, though it may be named there
+    Predecessor before = Predecessor::Uncertain; // when this instance wrote its name
     std::optional<Milliseconds> begunAt;
     Milliseconds halfFrom = Never;
     Milliseconds fullFrom = Never;
-    Milliseconds proof = LongAgo; // a call sent at this time showed that it was named
+    Milliseconds proof = LongAgo; // when the last call was sent that confirmed this instance as the holder
 };
 
 }
--- a/Source/Quotas/QuotaPlan.cpp
+++ b/Source/Quotas/QuotaPlan.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 /**
- * Of what lies between limit and bound. Instances draw their parts by
- * themselves, and up to six windows of a second touch a span of five: the sum
- * of 984 draws stays below twice this share in all but one span of some thousands.
+ * The share of the margin between limit and bound that instances use without a grant. Each instance draws its own part
+ * at random, and a quota window of 5 s overlaps up to six draw windows of 1 s: with 984 instances the sum of all draws
+ * exceeds twice this share in one of several thousand quota windows.
  */
 constexpr double DealtShare = 0.2;
 constexpr double KeptForDealt = 2 * DealtShare;
@@ -32,7 +32,7 @@
 {
     const double usedLater = this->limit.requestsPerSecond * (CreditLife / Second);
     const double left = this->limit.burst + this->beyondLimit() * (1 - KeptForDealt) - usedLater;
-    // Without a whole request nothing could ever be granted.
+    // With a capacity below one whole request nothing could ever be granted.
     return std::max(1.0, left);
 }
 
--- a/Source/Quotas/QuotaPlan.h
+++ b/Source/Quotas/QuotaPlan.h
@@ -6,35 +6,35 @@
 namespace burlreach {
 
 /**
- * What the fleet may let through of a customer in each span of this length:
- * its limit over the span, with so much beyond it.
+ * How many requests of a customer the whole fleet may let through in any window of this length: the customer's limit
+ * for that time, increased by the overage and the slack.
  */
 struct QuotaBound {
     Milliseconds window{ 5000 };
-    double overage = 0.1; // share of the limit
+    double overage = 0.1; // as a share of the limit
     double slack = 20; // requests
 };
 
-/** A request must reach a backend server within this time after its credit was granted. */
+/** Credit expires this long after it was granted: the request must reach a backend server by then. */
 inline constexpr Milliseconds CreditLife{ 500 };
 
 /**
- * How the bound of one customer is divided. One instance grants credit at the
- * rate of the limit. What lies between limit and bound is for two things: a
- * part that all instances may use without asking, and the credit that is used
- * later than it was granted.
+ * Divides the quota of one customer. One instance grants credit at the rate of the limit. The margin between limit and
+ * bound covers two things: a budget that all instances together may use without a grant, and credit that is used later
+ * than it was granted, in another window.
  */
 class QuotaPlan {
 public:
     QuotaPlan(const CustomerLimit& limit, const QuotaBound& bound);
 
     double grantedPerSecond() const { return this->limit.requestsPerSecond; }
-    /** Credit that may be saved up to be granted at once. */
+    /** The most credit that may be saved up and then granted at once, in requests. */
     double grantedAtOnce() const;
-    /** By all instances together, without asking. */
+    /** Requests that all instances together may let through without a grant. */
     double dealtPerSecond() const;
 
 private:
+    /** Requests a window between the limit and the bound. */
     double beyondLimit() const;
 
     CustomerLimit limit;
--- a/Tests/Quotas/CustomerCreditTest.cpp
+++ b/Tests/Quotas/CustomerCreditTest.cpp
@@ -1,7 +1,7 @@
-// A customer's limit is one for the whole fleet. Fleets of 3 to 984 instances
-// let through what one of them grants and what each was dealt; the customer
-// sends at many, at one, or at one after the other. Counted is what reaches
-// servers in every sliding window, with each credit used as late as it may be.
+// Guards the limit of a customer, which holds for the whole fleet. Fleets of 3 to 984 instances let requests through
+// with credit from the granting instance and with their random shares of the budget that needs no grant. The customer
+// sends to all instances, to one, or to one after the other. The tests count the requests that reach backend servers in
+// every sliding window, with each credit used as late as allowed, or at once.
 
 #include "Quotas/CreditDesk.h"
 #include "Quotas/CreditGrants.h"
@@ -43,7 +43,7 @@
     Spread spread;
 };
 
-/** One customer's requests through a fleet; the instance that grants may change. */
+/** Sends one customer's requests through a fleet whose granting instance may change. */
 class Customers {
 public:
     explicit Customers(const Case& given)
@@ -73,7 +73,7 @@
         }
     }
 
-    /** From now on these modes hold; the second instance begins when it had none. */
+    /** Sets the modes of the two granting instances; the second one starts to grant if its mode was None. */
     void setModes(GrantMode first, GrantMode second)
     {
         if (this->modes[1] == GrantMode::None && second != GrantMode::None)
@@ -81,13 +81,14 @@
         this->modes = { first, second };
     }
 
-    /** The most in a window, when each request reaches its server as late after its credit as it may, or at once. */
+    /** The most requests in a window, if each reaches its server at once or as late as its credit allows. */
     double mostInWindow() const
     {
         double most = 0;
         for (const bool late : { false, true }) {
             std::deque<double> window;
-            // The worst order: credit of the beginning is used late, that of the end at once.
+            // The worst case: credit granted before the window is used as late as allowed, credit granted at its end
+            // at once.
             for (const Milliseconds at : this->granted) {
                 window.push_back(at.count);
                 const double span = Bound.window.count + (late ? CreditLife.count : 0);
@@ -128,7 +129,7 @@
     void ask(std::size_t index)
     {
         for (const CreditDesk::Ask& ask : this->desks[index]->takeAsks(this->now)) {
-            // Some hear of the other granting instance earlier than the rest.
+            // Half of the instances learn of the second granting instance earlier than the others.
             const std::size_t grantor = this->modes[1] != GrantMode::None && index % 2 ? 1 : 0;
             CreditDesk::Answer answer{ .number = ask.number, .customer = ask.customer };
             answer.isGranting = this->modes[grantor] != GrantMode::None;
@@ -191,7 +192,7 @@
         customers.run({ 15000 });
         const std::string text = textOf(item) + ", window " + std::to_string(customers.mostInWindow());
         CHECK_TEXT(customers.mostInWindow() <= boundOf(item.limit), text.c_str());
-        // Most of the limit is served while more is asked for.
+        // An overloaded limit must still be used: at least 90 % of it is served.
         CHECK_TEXT(
             static_cast<double>(customers.granted.size()) >= item.limit.requestsPerSecond * 15 * 0.9, text.c_str());
     }
--- a/Tests/Quotas/GrantorTenureTest.cpp
+++ b/Tests/Quotas/GrantorTenureTest.cpp
@@ -1,7 +1,6 @@
-// Two instances that grant a customer's credit at once let twice its limit
-// through. Here several instances follow each other by the store alone: one is
-// killed, stands still, loses the store, is restarted, or its writes are
-// answered late; after each step what all of them may grant together is summed.
+// Guards against two instances that grant in full at the same time, which would let twice a customer's limit through.
+// Several instances take over from each other through the store alone, while one is killed, suspended, restarted or
+// cut off from the store, or its writes are answered late. After each step the tests add up what all may grant.
 
 #include "Quotas/GrantorTenure.h"
 
@@ -24,7 +23,7 @@
 constexpr Milliseconds Step{ 10 };
 constexpr Milliseconds QuietWatch{ 1200 };
 
-/** An instance with its view of the store. */
+/** An instance with its copy of the stored item. */
 struct Instance {
     peers::Member self;
     StoreCallNumbers numbers;
@@ -35,7 +34,7 @@
     bool leads = false;
     bool isStill = false;
     bool reachesStore = true;
-    std::optional<StoreRequest> held; // a write that is on its way
+    std::optional<StoreRequest> held; // a write that the store has not yet handled
     Milliseconds heldUntil;
 
     void start(const std::string& name, std::uint64_t life, std::uint32_t port)
@@ -51,7 +50,7 @@
     }
 };
 
-/** Some instances and a store, step by step. */
+/** Simulates several instances and a store in fixed time steps. */
 class Tenures {
 public:
     explicit Tenures(std::size_t count)
@@ -86,7 +85,7 @@
     }
     GrantMode modeOf(std::size_t index) { return this->mode(this->instances[index]); }
     double share() { return this->sum(); }
-    /** All writes are answered so late, and done then. */
+    /** How long after its sending each write takes effect and is answered. */
     Milliseconds writeDelay{ 10 };
     bool losesAnswers = false;
     double largest = 0;
@@ -97,7 +96,7 @@
     {
         double sum = 0;
         for (const Instance& each : this->instances) {
-            // One that stands still grants nothing before it has its next turn.
+            // A suspended instance grants nothing until it runs again.
             const GrantMode mode = each.isStill ? GrantMode::None : this->mode(each);
             sum += mode == GrantMode::Full ? 1 : mode == GrantMode::Half ? 0.5 : 0;
         }
@@ -127,7 +126,7 @@
         each.held = std::move(call);
         each.heldUntil = this->now + this->writeDelay;
     }
-    /** A quiet watch ends and the next one begins; changes are heard at once by put(). */
+    /** A watch without changes ends and the next one begins; finish() delivers changes at once. */
     void watch(Instance& each)
     {
         each.watchedAt = this->now;
@@ -175,58 +174,58 @@
 struct Case {
     const char* name;
     std::function<void(Tenures&)> trouble;
-    Milliseconds halfAgain; // by then somebody grants again
+    Milliseconds halfAgain; // after this, at least half is granted again
 };
 
 const std::vector<Case> Cases{
     { "nothing", [](Tenures&) {}, { 0 } },
-    { "another one leads", [](Tenures& all) { all.lead(1); }, { 4200 } },
-    { "the granting one is killed",
+    { "another instance leads", [](Tenures& all) { all.lead(1); }, { 4200 } },
+    { "the granting instance is killed",
         [](Tenures& all) {
             all.at(0).tenure.reset();
             all.lead(1);
         },
         { 1500 } },
-    { "it is killed and begins anew", [](Tenures& all) { all.startAnew(0); }, { 1500 } },
-    { "it is killed and begins anew, and another one leads",
+    { "it is killed and restarted", [](Tenures& all) { all.startAnew(0); }, { 1500 } },
+    { "it is killed and restarted, and another instance leads",
         [](Tenures& all) {
             all.startAnew(0);
             all.lead(1);
         },
         { 1500 } },
-    { "it stands still",
+    { "it is suspended",
         [](Tenures& all) {
             all.at(0).isStill = true;
             all.lead(1);
         },
         { 1500 } },
-    { "it loses the store, and another one leads",
+    { "it loses the store, and another instance leads",
         [](Tenures& all) {
             all.at(0).reachesStore = false;
             all.at(1).leads = true;
         },
         { 100 } },
-    { "two lead that do not know of each other", [](Tenures& all) { all.at(1).leads = true; }, { 100 } },
-    { "all are killed and begin anew",
+    { "two instances lead without knowing of each other", [](Tenures& all) { all.at(1).leads = true; }, { 100 } },
+    { "all are killed and restarted",
         [](Tenures& all) {
             all.startAnew(0);
             all.startAnew(1);
             all.startAnew(2);
         },
         { 1500 } },
-    { "nobody reaches the store",
+    { "no instance reaches the store",
         [](Tenures& all) {
             for (std::size_t index = 0; index < 3; ++index)
                 all.at(index).reachesStore = false;
         },
         { 100 } },
-    { "answers of the store are lost, and another one leads",
+    { "answers of the store are lost, and another instance leads",
         [](Tenures& all) {
             all.losesAnswers = true;
             all.lead(1);
         },
         { 7000 } },
-    { "writes are done seconds later, and another one leads",
+    { "writes take effect seconds later, and another instance leads",
         [](Tenures& all) {
             all.writeDelay = { 1400 };
             all.lead(1);
@@ -249,7 +248,7 @@
         all.run({ 500 });
         CHECK_TEXT(all.share() >= 0.5, item.name);
         all.run({ 8000 });
-        // What was struck comes back to itself.
+        // All faults end.
         for (std::size_t index = 0; index < 3; ++index) {
             all.at(index).isStill = false;
             all.at(index).reachesStore = true;
