--- a/Source/Customers/Credential.h
+++ b/Source/Customers/Credential.h
@@ -4,16 +4,16 @@
 
 namespace burlreach {
 
-/** What a request brings to show whose it is. */
+/** The credential of a request, by which its customer is found. */
 struct Credential {
     enum class Kind {
-        None, // it brings nothing
-        Unreadable, // several, of another scheme, or not well-formed
+        None, // the request has no credential
+        Unreadable, // more than one, of another scheme, or malformed
         Key
     };
 
     Kind kind = Kind::None;
-    KeyDigest key; // of a Key only
+    KeyDigest key; // only if kind is Key
 };
 
 }
--- a/Source/Customers/Customer.h
+++ b/Source/Customers/Customer.h
@@ -9,20 +9,20 @@
 
 namespace burlreach {
 
-/** How many requests of a customer may reach backend servers, from all instances together. */
+/** The limit on a customer's requests to backend servers, for all instances together. */
 struct CustomerLimit {
     double requestsPerSecond = 0; // 0: no limit
-    double burst = 0; // requests beyond that after a pause
+    double burst = 0; // requests beyond that rate that may be saved up
 
     bool isSet() const { return this->requestsPerSecond > 0; }
     bool operator==(const CustomerLimit&) const = default;
 };
 
-/** One whose callers send requests with keys of its own. */
+/** A customer, whose callers authenticate with its keys. */
 struct Customer {
     std::string name;
     std::vector<KeyDigest> keys;
-    std::optional<std::uint32_t> rank; // goes before the rank of the route; 0 goes first
+    std::optional<std::uint32_t> rank; // priority rank that replaces the route's; 0 is served first
     CustomerLimit limit;
 };
 
--- a/Source/Customers/CustomerTable.cpp
+++ b/Source/Customers/CustomerTable.cpp
@@ -40,12 +40,13 @@
     std::map<std::string_view, std::size_t> names;
     for (const Customer& customer : customers) {
         if (++names[customer.name] > 1)
-            findings.add(place + "/" + customer.name, "is there already; choose another name");
+            findings.add(place + "/" + customer.name, "already exists; choose another name");
         for (const KeyDigest& key : customer.keys) {
             const auto [holder, isNew] = holders.emplace(key, customer.name);
             if (!isNew && holder->second != customer.name)
                 findings.add(place + "/" + customer.name,
-                    "has a key that \"" + std::string(holder->second) + "\" holds as well; give each customer its own");
+                    "has a key that also belongs to \"" + std::string(holder->second)
+                        + "\"; give each customer keys of its own");
         }
     }
 }
--- a/Source/Customers/CustomerTable.h
+++ b/Source/Customers/CustomerTable.h
@@ -12,27 +12,27 @@
 
 namespace burlreach {
 
-/** Finds the customer to whom a key belongs. Never changed after it is made. */
+/** Finds customers by key or name. Immutable. */
 class CustomerTable {
 public:
     CustomerTable() = default;
     explicit CustomerTable(std::span<const Customer> customers);
 
-    /** True where requests need a key. */
+    /** Requests need a key if there are any customers. */
     bool hasCustomers() const { return !this->list.empty(); }
-    /** Null for a key that nobody holds. */
+    /** The customer to whom the key belongs; null if there is none. */
     const Customer* holderOf(const KeyDigest& key) const;
-    /** Null for a name that nobody has. */
+    /** Null if there is no customer of this name. */
     const Customer* byName(std::string_view name) const;
     std::span<const Customer> all() const { return this->list; }
     std::size_t keys() const { return this->byKey.size(); }
 
 private:
-    std::vector<Customer> list; // by name
-    std::vector<std::pair<KeyDigest, std::size_t>> byKey; // the place in the list, by key
+    std::vector<Customer> list; // sorted by name
+    std::vector<std::pair<KeyDigest, std::size_t>> byKey; // sorted by key; the number is an index of the list
 };
 
-/** Adds a finding for each key that two customers hold, and for each name that is there twice. */
+/** Adds a finding for each key that belongs to two customers, and for each duplicate name. */
 void checkCustomers(std::span<const Customer> customers, const std::string& place, Findings& findings);
 
 }
--- a/Source/Customers/KeyDigest.cpp
+++ b/Source/Customers/KeyDigest.cpp
@@ -39,7 +39,7 @@
 KeyDigest digestOfKey(std::string_view key)
 {
     KeyDigest::Bytes bytes{};
-    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast): the library takes bytes as unsigned characters.
+    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast): OpenSSL takes the bytes as unsigned char.
     SHA256(reinterpret_cast<const unsigned char*>(key.data()), key.size(), bytes.data());
     return KeyDigest(bytes);
 }
--- a/Source/Customers/KeyDigest.h
+++ b/Source/Customers/KeyDigest.h
@@ -11,9 +11,8 @@
 namespace burlreach {
 
 /**
- * The SHA-256 digest of a caller's key. Only digests are kept, compared, passed
- * on between instances and written into documents; the key itself is forgotten
- * as soon as it is read.
+ * The SHA-256 digest of a customer's API key. Only digests are kept, compared, sent between instances and stored; the
+ * key itself is discarded as soon as its digest is computed.
  */
 class KeyDigest {
 public:
@@ -23,11 +22,11 @@
     KeyDigest() = default;
     explicit KeyDigest(const Bytes& bytes);
 
-    /** Takes the same time wherever two digests differ. */
+    /** Compares in constant time, so that the duration does not show where two digests differ. */
     bool operator==(const KeyDigest& other) const;
-    /** An order without a meaning, to search by. */
+    /** An arbitrary order, for sorting and searching. */
     std::strong_ordering operator<=>(const KeyDigest& other) const { return this->bytes <=> other.bytes; }
-    /** In lower-case hexadecimal digits. */
+    /** The digest as 64 lower-case hexadecimal digits. */
     std::string text() const;
 
 private:
@@ -35,7 +34,7 @@
 };
 
 KeyDigest digestOfKey(std::string_view key);
-/** Nothing unless the text is one that KeyDigest::text() gives. */
+/** Parses the format of KeyDigest::text(); nullopt for any other text. */
 std::optional<KeyDigest> parseKeyDigest(std::string_view text);
 
 }
--- a/Source/Rollouts/AnswerCounts.h
+++ b/Source/Rollouts/AnswerCounts.h
@@ -4,10 +4,10 @@
 
 namespace burlreach {
 
-/** Answers of a version: how many there were, and how many of them failed or took several times as long as usual. */
+/** Counts of one version's answers. */
 struct AnswerCounts {
     std::uint64_t all = 0;
-    std::uint64_t bad = 0;
+    std::uint64_t bad = 0; // failed, or took several times as long as usual
 
     AnswerCounts operator+(const AnswerCounts& other) const
     {
@@ -20,10 +20,10 @@
     bool operator==(const AnswerCounts&) const = default;
 };
 
-/** The same requests at both versions. */
+/** Counts of answers to the same kind of requests, at both versions of a roll-out. */
 struct VersionCounts {
-    AnswerCounts usual;
-    AnswerCounts target;
+    AnswerCounts usual; // of the versions already in use, the baseline
+    AnswerCounts target; // of the new version
 
     VersionCounts operator+(const VersionCounts& other) const
     {
--- a/Source/Rollouts/FleetEvidence.cpp
+++ b/Source/Rollouts/FleetEvidence.cpp
@@ -24,7 +24,7 @@
     CountsByRoute& before = this->byInstance[{ instance, life }];
     for (const auto& [route, now] : counts) {
         VersionCounts& known = before[route];
-        // Told on the way that was overtaken by a later one.
+        // An older report that arrived after a newer one.
         if (isLess(now, known))
             continue;
         this->add(route, now - known);
--- a/Source/Rollouts/FleetEvidence.h
+++ b/Source/Rollouts/FleetEvidence.h
@@ -11,16 +11,16 @@
 
 namespace burlreach {
 
-/** What instances count of the answers of both versions, by route. */
+/** Counts of the answers of both versions, by route. */
 using CountsByRoute = std::map<std::string, VersionCounts>;
 
 /**
- * Sums what all instances have counted since a roll-out began, and judges it:
- * each route by itself, since a version may be bad on one only, and all together.
+ * Sums the counts of all instances since a roll-out began, and tests whether the target version is worse than the
+ * usual one: on each route, since a version may be bad on one route only, and on all routes together.
  */
 class FleetEvidence {
 public:
-    /** All that a life of an instance has counted so far; more than it told before. */
+    /** Takes a report of one life of an instance: its totals so far. Reports older than the last are ignored. */
     void told(const std::string& instance, std::uint64_t life, const CountsByRoute& counts);
     bool isBad() const;
     const VersionCounts& total() const { return this->sum; }
@@ -33,8 +33,8 @@
 
     void add(const std::string& route, const VersionCounts& more);
 
-    std::map<std::pair<std::string, std::uint64_t>, CountsByRoute> byInstance; // name and life
-    std::map<std::string, Route> routes;
+    std::map<std::pair<std::string, std::uint64_t>, CountsByRoute> byInstance; // last totals, by name and life
+    std::map<std::string, Route> routes; // by name
     VersionCounts sum;
     PageTest test;
 };
--- a/Source/Rollouts/PageTest.cpp
+++ b/Source/Rollouts/PageTest.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-/** A version is taken to be as good as the one before up to this share of bad answers, or this many times its share. */
+/** The share of bad answers up to which a version counts as good: at least this, or this factor times the usual share.
+ */
 constexpr double LeastGoodShare = 0.02;
 constexpr double GoodFactor = 1.5;
-/** The smallest difference that is looked for. */
+/** The smallest increase in the share of bad answers that the test is designed to detect. */
 constexpr double Difference = 0.12;
 constexpr double HighestShare = 0.9;
 /**
- * The logarithm of how unlikely bad answers must be of a good version: one in
- * some three thousand beginnings of the sum. Four bad answers in a row are enough
- * where the version before has none.
+ * The log likelihood ratio at which a version counts as bad. A good version reaches it in about one of three thousand
+ * starts of the sum. If the usual version has no bad answers, four bad answers in a row reach it.
  */
 constexpr double Threshold = 8;
 
--- a/Source/Rollouts/PageTest.h
+++ b/Source/Rollouts/PageTest.h
@@ -5,14 +5,13 @@
 namespace burlreach {
 
 /**
- * Page's cumulative sum test: whether a version's share of bad answers has
- * become higher than that of the version before. It sums the logarithm of the
- * likelihood ratio of the two and begins anew whenever the sum falls below
- * zero, so good answers of a long time do not hide a change that comes late.
+ * Page's cumulative sum test (CUSUM): detects that a version's share of bad answers has become higher than that of the
+ * usual version. It sums the log likelihood ratio of "bad" against "good" over all answers and restarts at zero
+ * whenever the sum becomes negative, so a long series of good answers does not hide a later change.
  */
 class PageTest {
 public:
-    /** More answers of the target version; the usual version's share of bad ones is what was seen of it so far. */
+    /** Adds answers of the target version; usualShare is the usual version's share of bad answers so far. */
     void add(const AnswerCounts& answers, double usualShare);
     bool isBad() const { return this->found; }
 
--- a/Source/Rollouts/RolloutPlan.cpp
+++ b/Source/Rollouts/RolloutPlan.cpp
@@ -13,24 +13,29 @@
 };
 
 /**
- * Until all requests move, 0.041 of them have gone to the new version. What it
- * then gets before a bad one is found is 0.06 of the requests of 12 s, in 0.7 s.
+ * Before all requests move, the new version gets 0.041 of the requests of the whole duration with these steps. After
+ * the move, a bad version gets another 0.06 of the requests of a 12 s roll-out before it is detected, within 0.7 s.
  */
 constexpr std::array<Step, 3> Steps{ Step{ .from = 0, .share = 0.03 }, Step{ .from = 0.55, .share = 0.1 },
     Step{ .from = 0.62, .share = 0.3 } };
+/** The share of the duration from which all requests move, given enough capacity and answers. */
 constexpr double MoveFrom = 0.68;
-/** Then it moves also with less than enough servers or answers. */
+/** From here all requests move even without enough capacity or answers. */
 constexpr double MoveAtLast = 0.85;
-/** Answers that are worth a judgement; a service with few requests gives the new version a larger share for them. */
+/** The answers needed to evaluate the new version. A service with few requests gives it a larger share to get them. */
 constexpr std::uint64_t EnoughAnswers = 25;
 constexpr double LargestFirstShare = 0.2;
-/** Instances tell every 1.2 s what they counted. */
+/** Instances report their counts every 1.2 s: by then the service's request rate is known. */
 constexpr Milliseconds RateKnownAfter{ 2500 };
+/** The capacity that the new version needs before all requests move, as a share of the old version's. */
 constexpr double EnoughCapacity = 0.5;
-/** After the move, before it is final: what only the whole load shows is seen by then. */
+/** The share of the duration between the move and completion, in which faults that need the full load show. */
 constexpr double WatchedFor = 0.08;
 
-/** Written anew after this, so that whoever goes on with it after a loss of all knows how late it is. */
+/**
+ * The state is written again after this share of the duration, so that after a loss of all instances another one
+ * continues with a recent elapsed time.
+ */
 constexpr double KeptFor = 0.1;
 
 double firstShare(const RolloutProgress& progress)
@@ -86,7 +91,7 @@
     }
     if (shouldMove(progress))
         return with(state, RolloutPhase::Moved, 1, now);
-    // Without its servers nothing can be tried.
+    // Without servers of the new version there is nothing to send requests to.
     const double share = progress.capacity > 0 ? shareFor(progress) : 0;
     constexpr double worthAChange = 1.3;
     const bool isLarger = share > state.share * worthAChange;
--- a/Source/Rollouts/RolloutState.cpp
+++ b/Source/Rollouts/RolloutState.cpp
@@ -20,7 +20,7 @@
     message.set_share_per_mille(static_cast<std::uint32_t>(state.share * PerMille));
     message.set_elapsed_milliseconds(static_cast<std::uint32_t>(std::max(0.0, state.elapsed.count)));
     std::string text;
-    // A message of plain fields always has a text.
+    // Converting a message with only plain fields to JSON cannot fail.
     static_cast<void>(google::protobuf::util::MessageToJsonString(message, &text));
     return text;
 }
--- a/Source/Rollouts/RolloutState.h
+++ b/Source/Rollouts/RolloutState.h
@@ -9,33 +9,33 @@
 
 namespace burlreach {
 
-/** The keys under which the states of roll-outs are kept, one a service, in every form of the store. */
+/** The prefix of the keys of roll-out states, one per service; the same in every dialect of the store. */
 inline constexpr const char* RolloutPrefix = "burlreach/rollouts/";
 
 enum class RolloutPhase {
     Trying, // a share of the requests goes to the new version
-    Moved, // all new requests go to it, what is under way at the old one ends
-    Completed, // nothing is under way at the old one
-    RolledBack // the new version gets nothing any more
+    Moved, // all new requests go to the new version; those at the old version finish
+    Completed, // no request is under way at the old version
+    RolledBack // the new version gets no more requests
 };
 
-/** How far a roll-out is; kept in the store, so that any instance can go on with it. */
+/** The progress of a roll-out. It is kept in the store, so that any instance can continue it. */
 struct RolloutState {
     std::string targetVersion;
-    std::uint64_t order = 0; // the number of the order that it belongs to
+    std::uint64_t order = 0; // RolloutOrder::number
     RolloutPhase phase = RolloutPhase::Trying;
-    double share = 0; // of the requests, while trying
-    Milliseconds elapsed; // since the order, when this was written
+    double share = 0; // of the requests that go to the new version
+    Milliseconds elapsed; // from the order until this state was written
 
     bool isOver() const { return this->phase == RolloutPhase::Completed || this->phase == RolloutPhase::RolledBack; }
 };
 
-/** As text, in the JSON mapping. */
+/** Encodes the state as JSON. */
 std::string writeRolloutState(const RolloutState& state);
-/** Nothing when the value was not written by an instance. */
+/** nullopt when the value is not such a state. */
 std::optional<RolloutState> readRolloutState(const std::string& value);
 
-/** As operators read it: "running", "completed" or "rolled_back". */
+/** The name shown to operators: "running", "completed" or "rolled_back". */
 std::string_view nameOf(RolloutPhase phase);
 
 }
--- a/Source/Rollouts/VersionRule.h
+++ b/Source/Rollouts/VersionRule.h
@@ -5,19 +5,20 @@
 
 namespace burlreach {
 
-/** Which backend servers of a service may get new requests while another version of it is brought in. */
+/** Which backend servers of a service may get new requests during a roll-out. */
 struct VersionRule {
     enum class Use {
-        All, // versions make no difference
-        Usual, // none of the target version
+        All, // servers of every version
+        Usual, // all but those of the target version
         Target, // only those of the target version
-        Shared // each request is for one of the two
+        Shared // each request is assigned to the target version or to the others
     };
 
     Use use = Use::All;
-    std::string target; // version
-    double share = 0; // of the requests that are for the target version, when shared
+    std::string target; // the target version
+    double share = 0; // of the requests that are assigned to the target version; only if use is Shared
 
+    /** Whether a server of this version may get a request; wantsTarget is the assignment of the request if Shared. */
     bool allows(std::string_view version, bool wantsTarget) const
     {
         const bool isTarget = version == this->target;
--- a/Tests/Customers/CustomerTableTest.cpp
+++ b/Tests/Customers/CustomerTableTest.cpp
@@ -27,18 +27,18 @@
 
 const std::vector<Case> Cases{
     { "none", {}, 0 },
-    { "keys of their own", { customer("a", { "1", "2" }), customer("b", { "3" }) }, 0 },
+    { "different keys", { customer("a", { "1", "2" }), customer("b", { "3" }) }, 0 },
     { "no key", { customer("a", {}), customer("b", { "3" }) }, 0 },
-    { "one key twice at one customer", { customer("a", { "1", "1" }) }, 0 },
-    { "one key at two customers", { customer("a", { "1", "2" }), customer("b", { "3", "2" }) }, 1 },
-    { "one name twice", { customer("a", { "1" }), customer("a", { "2" }) }, 1 },
+    { "a duplicate key of one customer", { customer("a", { "1", "1" }) }, 0 },
+    { "a key of two customers", { customer("a", { "1", "2" }), customer("b", { "3", "2" }) }, 1 },
+    { "a duplicate name", { customer("a", { "1" }), customer("a", { "2" }) }, 1 },
 };
 
 }
 
 TEST_GROUP(CustomerTable){};
 
-TEST(CustomerTable, FindsTheHolderOfAKeyAndNobodyElse)
+TEST(CustomerTable, FindsACustomerByItsKeysOnly)
 {
     const std::vector<Customer> customers{ customer("b", { "beta" }), customer("a", { "alpha", "alpha-2" }),
         customer("none", {}) };
@@ -71,7 +71,7 @@
     CHECK_FALSE(table.holderOf(digestOfKey("4000/0")));
 }
 
-TEST(CustomerTable, TwoHoldersOfOneKeyAreFoundWithoutTheKey)
+TEST(CustomerTable, ReportsDuplicateKeysAndNames)
 {
     for (const Case& item : Cases) {
         Findings findings;
@@ -80,7 +80,7 @@
     }
 }
 
-TEST(CustomerTable, ADigestIsWrittenAndReadAsSixtyFourDigits)
+TEST(CustomerTable, WritesAndParsesADigestAsSixtyFourDigits)
 {
     const KeyDigest digest = digestOfKey("abc");
     const std::string text = "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad";
--- a/Tests/Rollouts/PageTestTest.cpp
+++ b/Tests/Rollouts/PageTestTest.cpp
@@ -16,19 +16,19 @@
     const char* name;
     double usualShare; // of bad answers
     double targetShare;
-    unsigned goodBefore; // answers of the target version, as good as the usual ones
-    unsigned mostAnswers; // by then it is found; 0: it must not be found
+    unsigned goodBefore; // answers of the target version that are as good as the usual ones, before it gets worse
+    unsigned mostAnswers; // within which it must be found bad after that; 0: it must not be found bad
 };
 
 const std::vector<Case> Cases{
-    { "both without fault", 0, 0, 0, 0 },
-    { "a fault now and then", 0.002, 0.002, 0, 0 },
+    { "no bad answers in both", 0, 0, 0, 0 },
+    { "rare bad answers in both", 0.002, 0.002, 0, 0 },
     { "as bad as before", 0.1, 0.1, 0, 0 },
     { "a third fails", 0, 0.3, 0, 60 },
     { "a third fails after a long time", 0, 0.3, 5000, 60 },
     { "all fail", 0, 1, 0, 5 },
-    { "twice as bad as before, and more", 0.1, 0.4, 0, 120 },
-    { "a fifth fails on one route", 0.002, 0.2, 0, 90 },
+    { "four times the usual share", 0.1, 0.4, 0, 120 },
+    { "a fifth fails", 0.002, 0.2, 0, 90 },
 };
 
 }
@@ -53,12 +53,12 @@
             const unsigned most = item.goodBefore + item.mostAnswers;
             late += item.mostAnswers ? (!test.isBad() || count > most) : test.isBad();
         }
-        // Of 60 runs three may be slower, or a good version unlucky.
+        // The test is statistical: three of 60 runs may be slower, or find a good version bad.
         CHECK_TEXT(late <= 3, (std::string(item.name) + ": " + std::to_string(late)).c_str());
     }
 }
 
-TEST(PageTest, WhatIsToldTwiceOrOutOfOrderCountsOnce)
+TEST(PageTest, CountsRepeatedAndReorderedReportsOnce)
 {
     FleetEvidence evidence;
     const auto counts = [](std::uint64_t all, std::uint64_t bad) {
@@ -70,7 +70,7 @@
     LONGS_EQUAL(10, evidence.total().target.all);
     LONGS_EQUAL(2, evidence.total().target.bad);
     CHECK_FALSE(evidence.isBad());
-    // Another life counts from the beginning.
+    // A new life counts from zero.
     evidence.told("entry-1", 2, counts(3, 3));
     LONGS_EQUAL(13, evidence.total().target.all);
     evidence.told("entry-2", 1, counts(4, 4));
@@ -93,7 +93,7 @@
 {
     RolloutState state{ .targetVersion = "v2", .order = 1 };
     RolloutProgress progress{ .duration = { 12000 }, .targetAnswers = 100, .allAnswers = 4000 };
-    progress.elapsed = { 100 }; // nothing to try it on
+    progress.elapsed = { 100 }; // the new version has no capacity
     CHECK_FALSE(RolloutPlan::next(state, progress).has_value());
     progress.capacity = 1;
     CHECK(RolloutPlan::next(state, progress)->share > 0);
