--- a/Source/Membership/ContactBook.h
+++ b/Source/Membership/ContactBook.h
@@ -9,18 +9,19 @@
 
 namespace burlreach {
 
-/** Addresses of instances that were there not long ago; the newest replace the oldest. */
+/** The addresses of recently known instances; when it is full, a new address replaces the oldest one. */
 class ContactBook {
 public:
     struct Options {
-        NetworkAddress own; // never noted
-        std::size_t most = 24;
+        NetworkAddress own; // the address of this instance, which is never added
+        std::size_t most = 24; // addresses
     };
 
     explicit ContactBook(Options options);
 
+    /** Adds the address, or moves it to the newest position. */
     void learn(const NetworkAddress& address);
-    /** At most so many, chosen at random. */
+    /** Up to `most` different addresses, chosen at random. */
     std::vector<NetworkAddress> some(std::size_t most, Random& random) const;
 
 private:
--- a/Source/Membership/FleetSize.cpp
+++ b/Source/Membership/FleetSize.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 /**
- * All instances say hello every 1.2 s to those that watch the store, whose news
- * hold the count: after two rounds and the way back all have been counted.
+ * All instances send a hello every 1.2 s to those that watch the store, whose gossip updates contain the number of
+ * instances. After two rounds and the way back, that number includes all of them.
  */
 constexpr Milliseconds Settled{ 3000 };
-/** Longer than any cut between instances that the fleet should bear without sending more. */
+/** Longer than any network partition during which instances must not increase their share of fleet-wide limits. */
 constexpr Milliseconds Span{ 120000 };
 
 }
--- a/Source/Membership/FleetSize.h
+++ b/Source/Membership/FleetSize.h
@@ -8,23 +8,23 @@
 namespace burlreach {
 
 /**
- * How many instances the fleet has at least, for bounds on what all of them do
- * together. Counts fall while instances are cut off from each other or start,
- * though the others go on: so the largest count of some minutes is taken, and
- * none before an instance has run long enough to have heard of the others.
+ * Estimates the number of instances in the fleet for limits that all instances share. An estimate that is too small
+ * would make each instance take too large a share. Counts are too small while instances are cut off from each other or
+ * have just started. So the estimate is the largest count of the last minutes, and it is unknown until this instance
+ * has run long enough to know the others.
  */
 class FleetSize {
 public:
-    /** The fleet was counted; to be called again and again from the start on. */
+    /** Records a count of the fleet. Must be called regularly, from the start of this instance on. */
     void counted(std::size_t instances, Milliseconds now);
-    /** Nothing while it is not known. */
+    /** The estimate; nullopt while it is unknown. */
     std::optional<std::size_t> atLeast(Milliseconds now) const;
 
 private:
-    Milliseconds began = Never; // first count
-    Milliseconds spanBegan = LongAgo;
-    std::size_t largest = 0; // of the present span
-    std::size_t largestBefore = 0; // of the span before it
+    Milliseconds began = Never; // time of the first count
+    Milliseconds spanBegan = LongAgo; // start of the present period
+    std::size_t largest = 0; // count in the present period
+    std::size_t largestBefore = 0; // count in the previous period
 };
 
 }
--- a/Source/Membership/MemberTable.cpp
+++ b/Source/Membership/MemberTable.cpp
@@ -35,7 +35,7 @@
     const bool isNewLife = member.incarnation().number() > known;
     found->member = member;
     found->revision = isNewLife ? revision : std::max(found->revision, revision);
-    // Another instance may tell of it later than it spoke itself.
+    // The information may come from another instance and be older than the last message of the member itself.
     found->heardAt = std::max(found->heardAt, now);
     return isNewLife;
 }
--- a/Source/Membership/MemberTable.h
+++ b/Source/Membership/MemberTable.h
@@ -13,22 +13,22 @@
 
 namespace burlreach {
 
-/** Messages of another version are refused. */
+/** The version of the protocol between instances; messages of another version are refused. */
 inline constexpr std::uint32_t PeerProtocolVersion = 7;
 
-/** Where a member takes messages. */
+/** The address at which a member receives messages. */
 NetworkAddress addressOf(const peers::Member& member);
 
-/** Another instance that was heard not long ago. */
+/** Another instance, as last reported. */
 struct KnownMember {
     peers::Member member;
-    StoreRevision revision = 0; // what it said it has
-    Milliseconds heardAt = LongAgo;
+    StoreRevision revision = 0; // up to which it has the store's changes, as it last reported; 0: it has nothing
+    Milliseconds heardAt = LongAgo; // when it last sent a message to this instance or to the one that reported it
 };
 
 /**
- * The other instances that want the news of the store, by their own word. One
- * that has been silent is forgotten; a later life replaces an earlier one.
+ * The other instances, which receive updates of the store from this one when it watches. A member without a message
+ * for some time is removed; a later life replaces an earlier one.
  */
 class MemberTable {
 public:
@@ -38,15 +38,15 @@
 
     explicit MemberTable(Options options);
 
-    /** True when this life was not known. A life earlier than the known one is ignored. */
+    /** Adds or updates a member; true when this life was not known. A life earlier than the known one is ignored. */
     bool heard(const peers::Member& member, StoreRevision revision, Milliseconds now);
-    /** Those that had nothing were told everything through this revision. */
+    /** Records that all members with revision 0 were sent everything up to this revision. */
     void allWereTold(StoreRevision revision);
-    /** Forgets the silent ones. */
+    /** Removes members without a recent message. */
     void tick(Milliseconds now);
 
     const std::vector<KnownMember>& members() const { return this->list; }
-    /** Null when nothing is known of an instance of this name. */
+    /** Null if there is no member of this name. */
     const KnownMember* byName(std::string_view name) const;
     std::size_t size() const { return this->list.size(); }
 
--- a/Source/Membership/NewsTree.cpp
+++ b/Source/Membership/NewsTree.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** A member with its place in the order of a data centre. */
+/** A receiver, with the values that determine its position among those of its data centre. */
 struct Receiver {
     bool isSilent = false;
     std::uint32_t capacity = 0;
--- a/Source/Membership/NewsTree.h
+++ b/Source/Membership/NewsTree.h
@@ -10,32 +10,32 @@
 
 namespace burlreach {
 
-/** An instance that is sent news, and those to which it passes them on. */
+/** An instance that is sent a gossip update, and the instances to which it forwards it. */
 struct NewsBranch {
     NetworkAddress receiver;
     std::vector<NetworkAddress> relayTo;
 };
 
-/** How news spread from the instance where they begin. */
+/** How gossip updates spread from the instance that creates them. */
 struct NewsTreeOptions {
-    std::string origin; // its name
-    std::string dataCentre; // its own
-    std::size_t mostBranches = 8; // copies within its own data centre
-    std::size_t headsElsewhere = 2; // copies to each other data centre
-    Milliseconds silentAfter{ 1900 }; // an instance not heard for so long passes nothing on to others
+    std::string origin; // name of the instance that creates the updates
+    std::string dataCentre; // of that instance
+    std::size_t mostBranches = 8; // direct receivers in the same data centre
+    std::size_t headsElsewhere = 2; // direct receivers in each other data centre
+    Milliseconds silentAfter{ 1900 }; // without a message for this long, an instance is not chosen to forward updates
 };
 
 /**
- * The first step of news: within its own data centre a few branches, into each
- * other data centre a copy or two, whose receivers pass them on inside it. So
- * the bytes between data centres do not grow with the fleet. Strong instances
- * come first, silent ones last; who is a head differs with the origin, so that
- * no one's loss cuts others off from all origins.
+ * The branches to which the origin sends an update itself. Within its own data centre there are up to mostBranches of
+ * them; each other data centre gets one or two copies, whose receivers forward them inside it. So the traffic between
+ * data centres does not grow with the fleet. Instances with more capacity come first, those without a recent message
+ * last. The order of the others depends on the origin, so that the loss of one instance does not cut others off from
+ * the updates of all origins.
  */
 std::vector<NewsBranch> firstBranches(
     std::span<const KnownMember> members, const NewsTreeOptions& options, Milliseconds now);
 
-/** Each further step: spreads the receivers over at most so many branches. */
+/** Distributes the receivers over at most this many branches; every forwarding instance does the same. */
 std::vector<NewsBranch> branchesOf(std::span<const NetworkAddress> receivers, std::size_t mostBranches);
 
 }
--- a/Source/Membership/PullPlan.cpp
+++ b/Source/Membership/PullPlan.cpp
@@ -20,7 +20,7 @@
 
 void PullPlan::promised(Milliseconds now)
 {
-    // Further promises do not put off what the first one was waited for.
+    // A further announcement does not extend the wait that the first one began.
     if (now >= this->promisedUntil)
         this->promisedUntil = now + this->options.pushPatience;
 }
--- a/Source/Membership/PullPlan.h
+++ b/Source/Membership/PullPlan.h
@@ -9,45 +9,46 @@
 namespace burlreach {
 
 /**
- * When to ask another instance for changes that its news named and did not hold.
+ * Decides when to pull changes from another instance, whose gossip update named a later revision than this instance has
+ * but did not bring all changes up to it.
  *
- * One question is under way at a time: asking again before the answer is there
- * would make a busy instance send everything once more. News without changes
- * are given a moment first, since those of the leading watcher bring them.
+ * At most one pull is under way: a second one before the answer would make a busy instance send everything again. After
+ * an update without changes the pull is delayed, since the update of the leading watcher usually brings them. After an
+ * announced push the pull waits for it.
  */
 class PullPlan {
 public:
     struct Options {
-        Milliseconds patience{ 200 }; // with news that hold no changes
-        Milliseconds timeout{ 1000 }; // then the next one is asked
-        // For a push that was announced: 150 KB over three steps of 10 Mbit/s take about half of it, and a pull after
-        // it is answered before an instance must ask the store itself.
+        Milliseconds patience{ 200 }; // delay of the pull after an update without changes
+        Milliseconds timeout{ 1000 }; // for the answer to a pull, before the next one
+        // For an announced push: 150 KB over three hops of 10 Mbit/s take about half of it, and a pull after it is
+        // still answered before this instance would have to ask the store itself.
         Milliseconds pushPatience{ 900 };
     };
 
     explicit PullPlan(Options givenOptions);
 
-    /** News of this origin told of a later revision and could not be applied. */
+    /** An update of this origin named a later revision than this instance has, and could not be applied. */
     void behind(const peers::Member& origin, std::uint64_t revision, bool heldChanges, Milliseconds now);
-    /** The news told that a push with what is missing follows. */
+    /** An update announced a push with the missing changes. */
     void promised(Milliseconds now);
-    /** That push came, whatever it held. */
+    /** The announced push was received, whatever its content. */
     void delivered() { this->promisedUntil = LongAgo; }
-    /** What is known reaches this revision now. */
+    /** This instance now has all changes up to this revision. */
     void reached(std::uint64_t revision);
-    /** An answer came, whatever it held. */
+    /** An answer to a pull was received, whatever its content. */
     void answered() { this->pendingUntil = LongAgo; }
-    /** Whom to ask now; the question then counts as under way. */
+    /** The instance to pull from now, if a pull is due; the pull then counts as under way. */
     std::optional<peers::Member> next(Milliseconds now);
     Milliseconds nextDue() const;
 
 private:
     Options options;
-    peers::Member newest; // told of the latest revision
-    std::uint64_t wanted = 0; // 0: nothing is missing
-    Milliseconds askAt = Never;
-    Milliseconds promisedUntil = LongAgo;
-    Milliseconds pendingUntil = LongAgo;
+    peers::Member newest; // the origin of the update that named the latest revision
+    std::uint64_t wanted = 0; // the latest revision named; 0: nothing is missing
+    Milliseconds askAt = Never; // when the next pull is due
+    Milliseconds promisedUntil = LongAgo; // how long to wait for an announced push
+    Milliseconds pendingUntil = LongAgo; // timeout of the pull under way
 };
 
 }
--- a/Source/Membership/WatchDuty.cpp
+++ b/Source/Membership/WatchDuty.cpp
@@ -12,15 +12,19 @@
 
 constexpr std::uint64_t RankSeed = 2;
 /**
- * Turns do not follow from the rank: the lowest ranks watch, and with the same hash the first turns would all be
- * theirs. Of 300 fleets of 13 of which the store turns just the watchers away, nobody else asks within 1.9 s of its
- * last word in 3, and in 175 with the rank's hash and a whole first round.
+ * Turns use another hash than ranks: the instances of the lowest rank are the watchers, so with the same hash they
+ * would have the first turns as well. In 300 simulated fleets of 13 instances in which the store refuses only the
+ * watchers, no other instance asked within 1.9 s of the store's last answer in 3 fleets. With the hash of the rank and
+ * a whole first round it was 175 fleets.
  */
 constexpr std::uint64_t TurnSeed = 3;
-/** Of a round, in which all others have had their first turn: nobody knows yet that the store serves some of them. */
+/**
+ * The share of a round within which every instance has its first turn. The first round is shorter because no instance
+ * knows yet whether the store still serves some of them.
+ */
 constexpr double FirstRound = 0.5;
 
-/** From 0 up to 1. */
+/** Maps a hash to a number from 0 up to, but not including, 1. */
 double placeOf(std::uint64_t hash)
 {
     constexpr int bits = 64;
@@ -91,7 +95,8 @@
 
 bool WatchDuty::isAsking(const Watcher& watcher, Milliseconds now) const
 {
-    // As for knowledge: a watcher that ended is missed no later than its news are.
+    // The same bound as for the age of knowledge, so that a watcher that ended is noticed no later than the lack of its
+    // updates.
     return now < watcher.toldAt + this->options.staleAfter;
 }
 
@@ -99,7 +104,8 @@
 {
     Milliseconds until = LongAgo;
     for (const Watcher& watcher : this->known) {
-        // Its news do not come through whole, or knowledge here would be fresh.
+        // This watcher has fresh answers of the store, but its updates do not arrive complete, or the knowledge of this
+        // instance would be fresh.
         if (now < watcher.confirmedAt + this->options.staleAfter)
             return LongAgo;
         until = std::max(until, watcher.toldAt + this->options.staleAfter);
@@ -139,7 +145,7 @@
 
 bool WatchDuty::isStale(Milliseconds confirmedAt, Milliseconds now) const
 {
-    // Not as a difference: its rounding could deny the moment that nextChange() gives.
+    // Compares with a sum: the rounding of a difference could make this false at the time that nextChange() returned.
     return now >= confirmedAt + this->stalenessBound();
 }
 
@@ -157,7 +163,7 @@
         this->turnAt = now + round * FirstRound * placeOf(hashOf(this->options.ownName, TurnSeed));
     if (now >= this->turnAt) {
         this->turnAt = now + round;
-        // As long as a watch without an answer takes.
+        // A watch without an answer takes as long as this.
         this->turnUntil = now + this->stalenessBound();
     }
     this->leavesItUntil = std::min(this->turnAt, until);
@@ -228,7 +234,8 @@
     for (const Watcher* watcher : this->ranked(now)) {
         const bool isHeard = this->isActive(*watcher, now);
         std::size_t& count = isHeard ? heard : unheard;
-        // One that others named is worth a hello when it goes before those that were heard.
+        // A watcher that only others named gets a hello if its rank is lower than that of the worst selected reporting
+        // watcher, or if there are too few of those.
         if (count >= this->options.wanted || (!isHeard && heard >= this->options.wanted && last < watcher->rank))
             continue;
         ++count;
--- a/Source/Membership/WatchDuty.h
+++ b/Source/Membership/WatchDuty.h
@@ -15,72 +15,78 @@
 /**
  * Decides whether this instance watches the store itself.
  *
- * A few instances watch and tell the others. Nobody is elected and nothing is
- * written: an instance volunteers when it hears of too few others, after a
- * delay of its own that follows from its name, and leaves off when enough
- * others of a lower rank do it. Whoever hears nothing fresh, from whatever
- * cause, watches at once.
+ * A few instances watch the store and send its changes to the others as gossip updates. There is no election and no
+ * record in the store. An instance volunteers when it knows of too few watchers, after a delay that depends on its
+ * name, and stops when enough other watchers have a lower rank. An instance without fresh knowledge of the store, for
+ * whatever cause, watches at once.
  *
- * While the store is away the watchers go on asking it and say so. Those that
- * hear them leave it to them, or all would ask at once and again: each asks
- * only in its turn, in case that the store turns just the watchers away.
+ * During a store outage the watchers keep calling the store, and their updates say that it does not answer. Instances
+ * that receive those updates do not call the store too, or all of them would call it again and again. Each calls it
+ * only in its turn, once a round, in case the store refuses just the watchers.
  */
 class WatchDuty {
 public:
     struct Options {
         std::string ownName;
-        std::uint32_t ownCapacity = 0; // in percent of a processor; stronger instances watch rather than weaker ones
-        std::size_t wanted = 3; // instances that watch
-        Milliseconds staleAfter{ 1450 }; // older knowledge is not relied on
-        Milliseconds staleSpread{ 250 }; // not all look for themselves at once
-        Milliseconds remembered{ 3000 }; // a watcher that was not heard for longer is gone
-        Milliseconds firstRemembered{ 2000 }; // of the first one: the next takes its place; news come every 1.3 s
-        Milliseconds volunteerSpread{ 3000 };
+        std::uint32_t ownCapacity = 0; // in percent of a processor; instances with more capacity have a lower rank
+        std::size_t wanted = 3; // number of watchers
+        Milliseconds staleAfter{ 1450 }; // knowledge of the store older than this is stale
+        Milliseconds staleSpread{ 250 }; // added to that, depending on the name, so that not all call the store at once
+        Milliseconds remembered{ 3000 }; // a watcher without a message for longer is gone
+        /** The same for the watcher of the lowest rank, which the next one then replaces; updates come every 1.3 s. */
+        Milliseconds firstRemembered{ 2000 };
+        Milliseconds volunteerSpread{ 3000 }; // the longest delay before an instance volunteers
         /**
-         * By all instances together that leave it to watchers without success: within a second or two one finds out
-         * that the store serves others. With 473 instances 10 calls a second instead of some 400.
+         * The turns of all instances together while the store does not answer the watchers: within one or two seconds
+         * one of them finds out whether the store serves others. With 473 instances this makes 10 calls a second
+         * instead of about 400.
          */
         double turnsPerSecond = 10;
     };
 
     explicit WatchDuty(Options options);
 
-    /** News came from this instance, which heard from the store at that time. */
+    /** Records an update sent by a watcher, which had an answer of the store at confirmedAt. */
     void heardWatcher(const peers::Member& watcher, Milliseconds confirmedAt, Milliseconds now);
-    /** Another watcher named this one. */
     bool knows(const peers::Incarnation& watcher) const;
+    /** Records a watcher that another instance named. */
     void toldOfWatcher(const peers::Member& watcher, Milliseconds now);
 
-    /** The knowledge here was last known to be current at confirmedAt; the fleet is as large as it is known to be. */
+    /**
+     * Whether this instance should watch. Its knowledge of the store was last confirmed as current at confirmedAt;
+     * `instances` is the known size of the fleet.
+     */
     bool shouldWatch(bool isWatching, Milliseconds confirmedAt, std::size_t instances, Milliseconds now);
-    /** A call to the store from here failed: its turn among those that leave it to others is over. */
+    /** Records that a call to the store failed, which ends the turn of this instance. */
     void askedInVain() { this->turnUntil = LongAgo; }
-    /** When shouldWatch() may change its mind although nothing is heard. */
+    /** When the result of shouldWatch() may change even if no message arrives. */
     Milliseconds nextChange(Milliseconds confirmedAt) const;
     bool isStale(Milliseconds confirmedAt, Milliseconds now) const;
 
-    /** No better placed watcher was heard: this one's news hold the changes themselves. */
+    /** True when no active watcher of a lower rank is known: the updates of this instance then contain the changes. */
     bool leads(Milliseconds now) const;
     /**
-     * Of the instances that watch or ask the store, as far as they were heard themselves, the first by rank: the same
-     * for all that hear the same, whether or not the store answers. Nothing when none was heard or this one, if it
-     * watches, goes before them.
+     * The instance of the lowest rank among those that watch or call the store and recently sent an update themselves.
+     * All instances that receive the same updates find the same one, whether or not the store answers. nullopt if there
+     * is none, or if this instance is watching and has a lower rank.
      */
     std::optional<peers::Member> firstBefore(bool isWatching, Milliseconds now) const;
     /**
-     * Instances to which this one says that it wants their news: as many as are
-     * wanted of those that were heard, the best first, and of those only named
-     * by others that go before them.
+     * The instances to which this one sends hellos to get their updates: up to `wanted` active watchers, the lowest
+     * ranks first, and up to `wanted` of the other known watchers. When there are enough active ones, only those others
+     * count that have a lower rank than the last of them.
      */
     std::vector<peers::Member> watchers(Milliseconds now) const;
-    /** The best of those that were heard themselves, those with news of the store first. Only they are named to others,
-     * or a name would be passed round for ever. */
+    /**
+     * Up to `wanted` watchers that recently sent an update themselves, those with answers of the store first. Only
+     * these are named to other instances; otherwise the name of a lost watcher would circulate for ever.
+     */
     std::vector<peers::Member> heardWatchers(Milliseconds now) const;
 
 private:
-    /** The lower one goes first: the stronger instance, then the lower hash of its name. */
+    /** The order in which instances are chosen as watchers, lowest first: by capacity, then by the hash of the name. */
     struct Rank {
-        std::uint32_t weakness = 0;
+        std::uint32_t weakness = 0; // bitwise complement of the capacity
         std::uint64_t hash = 0;
 
         auto operator<=>(const Rank&) const = default;
@@ -89,22 +95,26 @@
     struct Watcher {
         peers::Member member;
         Rank rank;
-        Milliseconds confirmedAt = LongAgo; // it heard from the store
-        Milliseconds knownAt = LongAgo; // it or another one spoke of it
-        Milliseconds toldAt = LongAgo; // its own news came
+        Milliseconds confirmedAt = LongAgo; // when it last had an answer of the store
+        Milliseconds knownAt = LongAgo; // when it or another instance last named it
+        Milliseconds toldAt = LongAgo; // when its own last update was received
     };
 
+    /** Null for this instance itself and for a life earlier than the known one. */
     Watcher* findOrAdd(const peers::Member& member);
-    /** It has the store's answers. */
+    /** The watcher gets answers of the store. */
     bool isActive(const Watcher& watcher, Milliseconds now) const;
-    /** It is there and asks the store, whether or not it gets answers. */
+    /** The watcher is alive and calls the store, whether or not it gets answers. */
     bool isAsking(const Watcher& watcher, Milliseconds now) const;
-    /** Until when watchers are taken to ask in vain, as far as heard by now; before now when one has fresh answers. */
+    /**
+     * Until when the watchers count as calling the store without success, by the updates received so far. LongAgo when
+     * one of them has fresh answers, or there are none.
+     */
     Milliseconds othersAskInVainUntil(Milliseconds now) const;
-    /** Of an instance without fresh knowledge. */
+    /** Whether this instance, whose knowledge is stale, should call the store itself. */
     bool shouldAskItself(bool isWatching, std::size_t instances, Milliseconds now);
     static Rank rankOf(std::string_view name, std::uint32_t capacity);
-    /** Others that watch or ask and are at least as strong. */
+    /** The number of other instances that watch or call the store and have at least the capacity of this one. */
     std::size_t peersWithDuty(Milliseconds now) const;
     std::size_t askingOthersBelow(Milliseconds now) const;
     std::size_t activeOthersBelow(Milliseconds now) const;
@@ -115,10 +125,11 @@
     Options options;
     Rank ownRank;
     std::vector<Watcher> known;
-    Milliseconds vacantSince = Never;
-    Milliseconds turnAt = Never; // when this instance asks although others do
-    Milliseconds turnUntil = LongAgo; // it has its turn
-    Milliseconds leavesItUntil = LongAgo; // to the watchers, though its knowledge is not fresh
+    Milliseconds vacantSince = Never; // since when there are too few watchers
+    Milliseconds turnAt = Never; // the next turn of this instance to call the store although the watchers do
+    Milliseconds turnUntil = LongAgo; // end of its present turn
+    Milliseconds leavesItUntil
+        = LongAgo; // until then it leaves the calls to the watchers, though its knowledge is stale
 };
 
 }
--- a/Tests/Membership/AskingTurnsTest.cpp
+++ b/Tests/Membership/AskingTurnsTest.cpp
@@ -1,10 +1,8 @@
-// Seen: a request was refused with 404 by an instance that did not know a
-// version which the store had acknowledged more than 2 s before. How it came
-// about: the store turned away just the three instances that watched it, and
-// served the ten others. These left it to the watchers, which said that they
-// still asked, each until its turn; the first asked 2.3 s after the last word.
-// Cause: the turns followed from the same hash as the rank, so that the first
-// turns of all belonged to the watchers, which are the lowest in rank.
+// Guards against an instance that refuses a request with 404 because it lacks a configuration that the store
+// acknowledged more than 2 s earlier. This happened when the store refused only the three watchers and served the ten
+// other instances. Those waited for their turns to call the store, as the watchers still reported to be calling it, and
+// the first turn came 2.3 s after the store's last answer. The turns used the hash of the rank, so the first turns
+// belonged to the watchers themselves, which have the lowest ranks.
 
 #include "Base/Random.h"
 #include "Membership/WatchDuty.h"
@@ -23,13 +21,14 @@
 
 constexpr std::size_t Watchers = 3;
 constexpr int Fleets = 300;
-/** Of fleets, in which nobody may have asked in time: the turns are drawn. */
+/** The share of fleets in which no instance may have asked in time: the turns depend on the names, drawn at random. */
 constexpr double MostLate = 0.02;
-/** A change is in force within 2 s; from the first that asks it takes this to all others. */
+/** A change must be in force within this time. */
 constexpr Milliseconds InForceWithin{ 2000 };
+/** The time that a change takes from the first instance that asks the store to all others. */
 constexpr Milliseconds OnItsWay{ 100 };
 constexpr Milliseconds Step{ 10 };
-/** Watchers in vain say so this often. */
+/** How often watchers without answers of the store send an update. */
 constexpr Milliseconds StillAsking{ 1300 };
 
 peers::Member member(const std::string& name)
@@ -41,7 +40,7 @@
     return made;
 }
 
-/** All instances of a fleet as one of them sees it, and who watches in it: the lowest in rank. */
+/** The names of all instances of a fleet, and of its watchers, which have the lowest ranks. */
 struct Fleet {
     std::vector<std::string> names;
     std::vector<std::string> watchers;
@@ -52,7 +51,7 @@
     Fleet fleet;
     for (std::size_t instance = 0; instance < instances; ++instance)
         fleet.names.push_back("entry-" + std::to_string(random.below(1000000)));
-    // An instance names those that go before all others that it has heard, the best first.
+    // WatchDuty::watchers() returns those of the lowest rank.
     WatchDuty onlooker({ .ownName = "onlooker", .wanted = Watchers });
     for (const std::string& name : fleet.names)
         onlooker.heardWatcher(member(name), { 0 }, { 0 });
@@ -61,7 +60,7 @@
     return fleet;
 }
 
-/** From the last word of the store until the first of the others asks it. */
+/** The time from the store's last answer until the first instance other than the watchers asks it. */
 Milliseconds firstAskedAfter(const Fleet& fleet)
 {
     std::vector<WatchDuty> others;
@@ -95,7 +94,7 @@
 
 TEST_GROUP(AskingTurns){};
 
-TEST(AskingTurns, WhereOnlyTheWatchersAreTurnedAwaySomebodyElseAsksInTime)
+TEST(AskingTurns, AnotherInstanceAsksInTimeWhenOnlyTheWatchersAreRefused)
 {
     for (const std::size_t instances : { 13, 17, 18, 40, 95, 473 })
         CHECK_TEXT(lateShare(instances) <= MostLate, (std::to_string(instances) + " instances").c_str());
--- a/Tests/Membership/FleetSizeTest.cpp
+++ b/Tests/Membership/FleetSizeTest.cpp
@@ -23,18 +23,18 @@
 
 const std::vector<Case> Cases{
     { "never counted", {}, 5000, 0 },
-    { "begun a moment ago", { { 100, 1 }, { 1200, 40 } }, 2900, 0 },
-    { "settled", { { 100, 1 }, { 1200, 40 }, { 3100, 95 } }, 3200, 95 },
+    { "started recently", { { 100, 1 }, { 1200, 40 } }, 2900, 0 },
+    { "after the initial delay", { { 100, 1 }, { 1200, 40 }, { 3100, 95 } }, 3200, 95 },
     { "cut off from the others", { { 100, 95 }, { 20000, 1 }, { 60000, 1 } }, 60001, 95 },
-    { "cut off over the end of a span", { { 100, 95 }, { 121000, 1 } }, 122000, 95 },
-    { "smaller for long", { { 100, 95 }, { 125000, 30 }, { 250000, 30 } }, 250001, 30 },
+    { "cut off beyond the end of a period", { { 100, 95 }, { 121000, 1 } }, 122000, 95 },
+    { "smaller for a long time", { { 100, 95 }, { 125000, 30 }, { 250000, 30 } }, 250001, 30 },
 };
 
 }
 
 TEST_GROUP(FleetSize){};
 
-TEST(FleetSize, IsTheLargestCountOfSomeMinutesAndUnknownAtFirst)
+TEST(FleetSize, IsTheLargestCountOfTheLastMinutesAndUnknownAtFirst)
 {
     for (const Case& item : Cases) {
         FleetSize size;
--- a/Tests/Membership/MemberTableTest.cpp
+++ b/Tests/Membership/MemberTableTest.cpp
@@ -21,7 +21,7 @@
     return made;
 }
 
-/** Everybody whom a message reaches when every branch passes it on in turn. */
+/** Collects the receivers of a message that every receiver forwards, and the most copies that one of them sends. */
 void reach(const std::vector<NewsBranch>& branches, std::size_t mostBranches, std::multiset<NetworkAddress>& reached,
     std::size_t& mostSent)
 {
@@ -32,7 +32,7 @@
     }
 }
 
-/** A fleet spread over so many data centres. */
+/** A fleet, spread evenly over several data centres. */
 struct FleetShape {
     std::size_t instances = 0;
     std::size_t dataCentres = 1;
@@ -63,15 +63,15 @@
 {
     MemberTable table({});
     CHECK(table.heard(member("a", 5), 10, { 0 }));
-    CHECK_FALSE_TEXT(table.heard(member("a", 5), 11, { 10 }), "known already");
+    CHECK_FALSE_TEXT(table.heard(member("a", 5), 11, { 10 }), "the life is already known");
     CHECK_FALSE_TEXT(table.heard(member("a", 4), 99, { 20 }), "an earlier life is ignored");
     LONGS_EQUAL(11, table.members().front().revision);
     CHECK(table.heard(member("a", 6), 2, { 30 }));
     LONGS_EQUAL(1, table.size());
-    LONGS_EQUAL_TEXT(2, table.members().front().revision, "a new life knows only what it says");
+    LONGS_EQUAL_TEXT(2, table.members().front().revision, "a new life starts with the revision that it reports");
 }
 
-TEST(MemberTable, ForgetsTheSilent)
+TEST(MemberTable, RemovesMembersWithoutRecentMessages)
 {
     MemberTable table({ .forgottenAfter = { 100 } });
     table.heard(member("a", 1), 1, { 0 });
@@ -81,7 +81,7 @@
     CHECK(table.members().front().member.incarnation().name() == "b");
 }
 
-TEST(MemberTable, NewsReachEverybodyAndNobodySendsMany)
+TEST(MemberTable, UpdatesReachAllMembersAndEachSendsFewCopies)
 {
     for (const FleetShape& shape : Shapes) {
         const NewsTreeOptions options{ .origin = "entry-x", .dataCentre = "dc-0" };
@@ -90,12 +90,12 @@
         reach(firstBranches(membersOf(shape), options, HeardJustNow), options.mostBranches, reached, mostSent);
         LONGS_EQUAL(shape.instances, reached.size());
         const std::set<NetworkAddress> distinct(reached.begin(), reached.end());
-        LONGS_EQUAL_TEXT(shape.instances, distinct.size(), "nobody is told twice");
+        LONGS_EQUAL_TEXT(shape.instances, distinct.size(), "no member receives an update twice");
         CHECK(mostSent <= options.mostBranches + options.headsElsewhere * (shape.dataCentres - 1));
     }
 }
 
-TEST(MemberTable, NewsCrossToAnotherDataCentreOnceOrTwice)
+TEST(MemberTable, UpdatesCrossToAnotherDataCentreOnceOrTwice)
 {
     const auto members = membersOf({ 141, 4 });
     std::size_t across = 0;
@@ -104,12 +104,12 @@
         const auto place = [&](const NetworkAddress& address) { return (address.port - 1000U) % 4; };
         across += place(branch.receiver) != 0 ? 1 : 0;
         for (const NetworkAddress& relayed : branch.relayTo)
-            LONGS_EQUAL_TEXT(place(branch.receiver), place(relayed), "passed on within its data centre");
+            LONGS_EQUAL_TEXT(place(branch.receiver), place(relayed), "forwarded within its data centre");
     }
     LONGS_EQUAL(6, across);
 }
 
-TEST(MemberTable, TheSilentPassNothingOnAndTheStrongDo)
+TEST(MemberTable, MembersWithoutRecentMessagesDoNotForwardAndStrongOnesDo)
 {
     auto members = membersOf({ 40, 1 });
     for (std::size_t index = 0; index < 10; ++index)
@@ -118,13 +118,13 @@
     for (const std::string origin : { "entry-x", "entry-y" }) {
         const auto branches = firstBranches(members, { .origin = origin, .dataCentre = "dc-0" }, HeardJustNow);
         LONGS_EQUAL(8, branches.size());
-        LONGS_EQUAL_TEXT(1020, branches.front().receiver.port, "the strong one is first");
+        LONGS_EQUAL_TEXT(1020, branches.front().receiver.port, "the member with the most capacity is first");
         for (const NewsBranch& branch : branches)
-            CHECK_TEXT(branch.receiver.port >= 1010, "a silent one is told last");
+            CHECK_TEXT(branch.receiver.port >= 1010, "members without recent messages come last");
     }
 }
 
-TEST(MemberTable, AnotherTellsOfItButDoesNotMakeItLookOlder)
+TEST(MemberTable, AnOlderReportFromAnotherInstanceDoesNotChangeTheTime)
 {
     MemberTable table({});
     table.heard(member("a", 1), 5, { 1000 });
@@ -132,7 +132,7 @@
     LONGS_EQUAL(1000, static_cast<long>(table.members().front().heardAt.count));
 }
 
-TEST(MemberTable, TheContactBookKeepsTheNewestAndNeverItself)
+TEST(MemberTable, ContactsAreTheNewestAddressesWithoutTheOwn)
 {
     const NetworkAddress own{ .host = "10.0.0.1", .port = 1 };
     ContactBook book({ .own = own, .most = 3 });
--- a/Tests/Membership/PullPlanTest.cpp
+++ b/Tests/Membership/PullPlanTest.cpp
@@ -20,9 +20,9 @@
 
 TEST_GROUP(PullPlan){};
 
-// A busy instance that is asked again and again sends everything each time:
-// 142 instances and 327 backend servers brought each other to a standstill so.
-TEST(PullPlan, AsksOnceHoweverMuchNewsTellsOfIt)
+// A busy instance that gets repeated pulls sends everything each time. This brought a fleet of 142 instances with 327
+// backend servers to a standstill.
+TEST(PullPlan, PullsOnceHoweverManyUpdatesNameTheRevision)
 {
     PullPlan plan({});
     int asked = 0;
@@ -31,12 +31,12 @@
         asked += plan.next({ at }) ? 1 : 0;
     }
     LONGS_EQUAL(1, asked);
-    CHECK_TEXT(plan.next({ 1000 }).has_value(), "no answer came within the time-out");
+    CHECK_TEXT(plan.next({ 1000 }).has_value(), "the pull timed out");
     plan.answered();
-    CHECK_TEXT(plan.next({ 1010 }).has_value(), "an answer that did not suffice");
+    CHECK_TEXT(plan.next({ 1010 }).has_value(), "the answer did not bring the revision");
 }
 
-TEST(PullPlan, AsksWhoToldOfTheNewest)
+TEST(PullPlan, PullsFromTheOriginOfTheLatestRevision)
 {
     PullPlan plan({});
     plan.behind(origin("a"), 20, true, { 0 });
@@ -45,7 +45,7 @@
     STRCMP_EQUAL("b", plan.next({ 0 })->incarnation().name().c_str());
 }
 
-TEST(PullPlan, GivesTheLeadersNewsAMoment)
+TEST(PullPlan, WaitsForTheLeadersUpdateAfterOneWithoutChanges)
 {
     PullPlan plan({});
     plan.behind(origin("a"), 20, false, { 100 });
@@ -54,7 +54,7 @@
     CHECK(plan.next({ 300 }).has_value());
 }
 
-TEST(PullPlan, WhatArrivesMeanwhileIsNotAskedFor)
+TEST(PullPlan, DoesNotPullWhatArrivesMeanwhile)
 {
     PullPlan plan({});
     plan.behind(origin("a"), 20, false, { 100 });
@@ -65,10 +65,10 @@
     CHECK_FALSE(plan.next({ 400 }).has_value());
 }
 
-TEST(PullPlan, APromisedPushIsWaitedForOnce)
+TEST(PullPlan, WaitsOnceForAnAnnouncedPush)
 {
     PullPlan plan({});
-    // More news with promises come while the first push is under way.
+    // More updates announce pushes while the first push is under way.
     for (double at = 100; at < 1000; at += 100) {
         plan.promised({ at });
         plan.behind(origin("a"), 20, true, { at });
@@ -78,7 +78,7 @@
     CHECK(plan.next({ 1000 }).has_value());
 }
 
-TEST(PullPlan, APushThatDidNotSufficeIsNotWaitedForAnyLonger)
+TEST(PullPlan, PullsAtOnceAfterAPushThatDidNotBringTheRevision)
 {
     PullPlan plan({});
     plan.promised({ 100 });
--- a/Tests/Membership/WatchDutyTest.cpp
+++ b/Tests/Membership/WatchDutyTest.cpp
@@ -24,31 +24,31 @@
 
 constexpr Milliseconds Fresh{ 10000 };
 
-/** An instance that heard from so many watchers just now. */
+/** An instance that received updates of other watchers 100 ms ago. */
 struct Case {
     const char* name;
-    int others;
-    Milliseconds othersConfirmedAt; // what the others told last, 100 ms ago
+    int others; // number of other watchers
+    Milliseconds othersConfirmedAt; // their last answer of the store
     bool isWatching;
-    Milliseconds confirmedAt;
-    bool watches;
+    Milliseconds confirmedAt; // when this instance's knowledge was last confirmed
+    bool watches; // the expected result
 };
 
 const std::vector<Case> Cases{
     { "enough others watch", 3, { 9900 }, false, { 9800 }, false },
-    { "enough others, but nothing fresh comes through from them", 3, { 9900 }, false, { 8000 }, true },
-    { "the others ask the store in vain", 3, { 8000 }, false, { 8000 }, false },
-    { "the others ask in vain, and this one is of the few", 2, { 8000 }, true, { 8000 }, true },
-    { "nobody watches, just now noticed", 0, { 9900 }, false, { 9800 }, false },
-    { "one of few that watch", 2, { 9900 }, true, { 9800 }, true },
-    { "nothing was ever heard", 0, { 9900 }, false, LongAgo, true },
+    { "enough others watch, but the knowledge here is stale", 3, { 9900 }, false, { 8000 }, true },
+    { "the store does not answer the others", 3, { 8000 }, false, { 8000 }, false },
+    { "the store does not answer the others, and this is one of the few watchers", 2, { 8000 }, true, { 8000 }, true },
+    { "there have only just been no watchers", 0, { 9900 }, false, { 9800 }, false },
+    { "one of too few watchers", 2, { 9900 }, true, { 9800 }, true },
+    { "there never was any knowledge", 0, { 9900 }, false, LongAgo, true },
 };
 
 }
 
 TEST_GROUP(WatchDuty){};
 
-TEST(WatchDuty, FollowsWhatIsHeard)
+TEST(WatchDuty, FollowsTheUpdatesOfOthers)
 {
     for (const Case& item : Cases) {
         WatchDuty duty({ .ownName = "entry-1" });
@@ -58,19 +58,19 @@
     }
 }
 
-TEST(WatchDuty, AVacancyIsFilledAfterADelayOfItsOwn)
+TEST(WatchDuty, VolunteersAfterADelayThatDependsOnItsName)
 {
     WatchDuty duty({ .ownName = "entry-1" });
     CHECK_FALSE(duty.shouldWatch(false, { 9900 }, Instances, Fresh));
     const Milliseconds due = duty.nextChange({ 1e9 });
     CHECK(due >= Fresh);
     CHECK_FALSE(duty.shouldWatch(false, due - Milliseconds{ 1 }, Instances, due - Milliseconds{ 1 }));
-    CHECK_TEXT(duty.shouldWatch(false, due, Instances, due), "at the very moment that was given");
+    CHECK_TEXT(duty.shouldWatch(false, due, Instances, due), "exactly at the time that nextChange() returned");
 }
 
-TEST(WatchDuty, TheMomentOfStalenessIsTheOneThatWasGiven)
+TEST(WatchDuty, KnowledgeIsStaleExactlyAtTheTimeOfNextChange)
 {
-    // A difference of times may round below the bound that their sum reached.
+    // The difference of two times may round below the bound that their sum reached.
     for (double confirmed = 1234.567; confirmed < 1300; confirmed += 0.7131) {
         WatchDuty duty({ .ownName = "entry-7" });
         for (int other = 0; other < 3; ++other)
@@ -81,8 +81,8 @@
     }
 }
 
-// A store that turns only the watchers away must be found again by others, by few at a time.
-TEST(WatchDuty, WhileOthersAskInVainEachAsksInItsTurn)
+// If the store refuses only the watchers, other instances must find that out, with few of them calling it at a time.
+TEST(WatchDuty, EachInstanceAsksInItsTurnWhileTheWatchersGetNoAnswers)
 {
     constexpr int fleet = 200;
     constexpr double spanMilliseconds = 20000;
@@ -101,12 +101,12 @@
             isWatching = watches;
         }
     }
-    CHECK_TEXT(firstTurns >= 3 && firstTurns <= 30, "ten a second, from the first one on");
-    CHECK_TEXT(turns >= fleet * 0.9 && turns <= fleet * 1.2, "each once in twenty seconds");
+    CHECK_TEXT(firstTurns >= 3 && firstTurns <= 30, "about ten a second, from the first second on");
+    CHECK_TEXT(turns >= fleet * 0.9 && turns <= fleet * 1.2, "each instance once in twenty seconds");
 }
 
-// Else whoever waits for that moment looks again and again without end.
-TEST(WatchDuty, WhoeverDoesNotWatchIsGivenALaterMoment)
+// With a time that is not in the future, the caller would evaluate shouldWatch() in an endless loop.
+TEST(WatchDuty, NextChangeIsInTheFutureForAnInstanceThatDoesNotWatch)
 {
     Random random(7);
     for (int run = 0; run < 200; ++run) {
@@ -131,7 +131,7 @@
     }
 }
 
-TEST(WatchDuty, OfTooManyOnlyTheLowestRanksStay)
+TEST(WatchDuty, OnlyTheLowestRanksStayWhenThereAreTooManyWatchers)
 {
     const std::vector<std::string> names{ "entry-0", "entry-1", "entry-2", "entry-3", "entry-4", "entry-5", "entry-6" };
     int staying = 0;
@@ -144,19 +144,19 @@
     LONGS_EQUAL(3, staying);
 }
 
-TEST(WatchDuty, OnlyWatchersThatWereHeardAreNamedToOthers)
+TEST(WatchDuty, NamesToOthersOnlyWatchersThatSentUpdatesThemselves)
 {
     WatchDuty duty({ .ownName = "entry-1" });
     duty.heardWatcher(member("heard"), { 900 }, { 1000 });
     duty.toldOfWatcher(member("told"), { 1000 });
-    LONGS_EQUAL_TEXT(2, duty.watchers({ 1000 }).size(), "both may have news");
+    LONGS_EQUAL_TEXT(2, duty.watchers({ 1000 }).size(), "both may send updates");
     LONGS_EQUAL(1, duty.heardWatchers({ 1000 }).size());
-    // Named by others again and again, but silent itself.
+    // Other instances still name the watcher, but it sends no updates itself.
     duty.toldOfWatcher(member("heard"), { 5000 });
     CHECK(duty.heardWatchers({ 5000 }).empty());
 }
 
-TEST(WatchDuty, AStrongInstanceTakesOverFromWeakOnes)
+TEST(WatchDuty, AnInstanceWithMoreCapacityReplacesWatchersWithLess)
 {
     const auto weak = [](int number) {
         peers::Member made = member("other-" + std::to_string(number));
@@ -172,13 +172,13 @@
     strong.shouldWatch(false, { 9900 }, Instances, Fresh);
     alike.shouldWatch(false, { 9900 }, Instances, Fresh);
     CHECK_TEXT(strong.nextChange({ 1e9 }) < Milliseconds{ 1e6 }, "it volunteers");
-    CHECK_TEXT(alike.nextChange({ 1e9 }) > Milliseconds{ 1e6 }, "there are enough of its kind");
-    CHECK_TEXT(strong.leads(Fresh), "it goes before all of them");
+    CHECK_TEXT(alike.nextChange({ 1e9 }) > Milliseconds{ 1e6 }, "there are enough watchers with the same capacity");
+    CHECK_TEXT(strong.leads(Fresh), "it has the lowest rank");
 }
 
-TEST(WatchDuty, AHelloGoesToNoMoreThanAreWanted)
+TEST(WatchDuty, SendsHellosToTheWantedNumberOfWatchersOnly)
 {
-    // While news do not get through everybody watches for itself.
+    // While updates do not arrive, every instance watches.
     WatchDuty duty({ .ownName = "entry-1" });
     for (int other = 0; other < 40; ++other)
         duty.heardWatcher(member("other-" + std::to_string(other)), { 9900 }, { 9900 });
@@ -186,7 +186,7 @@
     LONGS_EQUAL(3, duty.heardWatchers(Fresh).size());
 }
 
-TEST(WatchDuty, ASilentWatcherIsMissed)
+TEST(WatchDuty, WatchersWithoutRecentUpdatesDoNotCount)
 {
     WatchDuty duty({ .ownName = "entry-1" });
     for (int other = 0; other < 3; ++other)
