--- a/Source/Configuration/ChangeApplier.cpp
+++ b/Source/Configuration/ChangeApplier.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** More than a day of changes at the size that docs/CAPACITY.md plans for. */
+/** More than a day of changes at the fleet size that docs/CAPACITY.md plans for. */
 constexpr int RememberedChanges = 400;
 constexpr std::size_t MaximumChangeIdLength = 100;
 
@@ -46,7 +46,7 @@
     this->result = { .configuration = base, .findings = {} };
     if (request.change_id().empty() || request.change_id().size() > MaximumChangeIdLength)
         this->result.findings.add("/change_id",
-            "is empty or longer than 100 characters; give each change an id of its own and keep it for repeats");
+            "is empty or longer than 100 characters; give each change a unique id and keep it when you send it again");
     this->applyKind(request);
     v1::Configuration& changed = this->result.configuration;
     changed.set_revision(base.revision() + 1);
@@ -97,7 +97,7 @@
     case v1::ChangeRequest::CHANGE_NOT_SET:
         break;
     }
-    this->result.findings.add("/change", "is not set; name one change, such as create_service");
+    this->result.findings.add("/change", "is not set; set one change, such as create_service");
 }
 
 v1::Service* ChangeApplier::findService(const std::string& name)
@@ -107,7 +107,7 @@
     if (found != services.end())
         return &*found;
     this->result.findings.add(
-        "/service", "there is no service \"" + name + "\"; see the list of services or create it first");
+        "/service", "there is no service \"" + name + "\"; look it up in the list of services or create it first");
     return nullptr;
 }
 
@@ -118,7 +118,8 @@
     if (found != servers.end())
         return &*found;
     this->result.findings.add("/backend_server",
-        "there is no backend server \"" + name + "\" in \"" + service.name() + "\"; see the service or name it first");
+        "there is no backend server \"" + name + "\" in \"" + service.name()
+            + "\"; look it up in the service or add it first");
     return nullptr;
 }
 
@@ -193,7 +194,7 @@
     if (found == service->mutable_rules()->end())
         this->result.findings.add("/path_prefix",
             "there is no rule for \"" + change.method() + "\" and \"" + change.path_prefix()
-                + "\"; see the service for its rules");
+                + "\"; look the rules up in the service");
     else
         service->mutable_rules()->erase(found);
 }
@@ -216,7 +217,7 @@
     const auto found = std::find(emptied.begin(), emptied.end(), name);
     if (change.emptied() && !isKnown)
         this->result.findings.add("/data_centre",
-            "no backend server stands in \"" + name + "\"; write the data centre as the backend servers name it");
+            "no backend server is in \"" + name + "\"; write the data centre as in the records of the backend servers");
     else if (change.emptied() && found == emptied.end())
         *emptied.Add() = name;
     else if (!change.emptied() && found != emptied.end())
@@ -238,8 +239,7 @@
     auto& customers = *this->result.configuration.mutable_customers();
     const auto found = findNamed(customers, change.customer());
     if (found == customers.end())
-        this->result.findings.add(
-            "/customer", "there is no customer \"" + change.customer() + "\"; write the name as it was set");
+        this->result.findings.add("/customer", "there is no customer \"" + change.customer() + "\"; check the name");
     else
         customers.erase(found);
 }
@@ -249,14 +249,16 @@
     if (!this->findService(change.rollout().service()))
         return;
     if (change.rollout().new_version().empty())
-        this->result.findings.add("/rollout/new_version", "is empty; write the version as its backend servers name it");
+        this->result.findings.add(
+            "/rollout/new_version", "is empty; write the version as in the records of its backend servers");
     if (!change.rollout().duration_milliseconds())
-        this->result.findings.add("/rollout/duration_milliseconds", "is 0; write by when it should be done");
+        this->result.findings.add(
+            "/rollout/duration_milliseconds", "is 0; write in how many milliseconds the roll-out should complete");
     auto& rollouts = *this->result.configuration.mutable_rollouts();
     const auto found = findRollout(rollouts, change.rollout().service());
     v1::Rollout& rollout = found == rollouts.end() ? *rollouts.Add() : *found;
     rollout = change.rollout();
-    // The revision of this change, so that a second order for the same version is another one.
+    // The revision of this change distinguishes it from an earlier order for the same version.
     rollout.set_begun_at_revision(this->result.configuration.revision() + 1);
 }
 
@@ -265,7 +267,8 @@
     auto& rollouts = *this->result.configuration.mutable_rollouts();
     const auto found = findRollout(rollouts, change.service());
     if (found == rollouts.end())
-        this->result.findings.add("/service", "there is no roll-out of \"" + change.service() + "\"; see the service");
+        this->result.findings.add(
+            "/service", "there is no roll-out of \"" + change.service() + "\"; look it up in the service");
     else
         rollouts.erase(found);
 }
--- a/Source/Configuration/ChangeApplier.h
+++ b/Source/Configuration/ChangeApplier.h
@@ -5,16 +5,16 @@
 
 namespace burlreach {
 
-/** A configuration after a change, or why the change cannot be made. */
+/** A configuration after a change, or the findings why the change is refused. */
 struct ChangedConfiguration {
     v1::Configuration configuration;
     Findings findings; // the configuration is usable only when this is empty
 };
 
-/** Makes one operator's change on a copy of a configuration and checks it whole. */
+/** Applies one change of an operator to a copy of a configuration and validates the result as a whole. */
 class ChangeApplier {
 public:
-    /** The result has the next revision and remembers the change's id. */
+    /** The resulting configuration has the next revision and contains the id of the change. */
     ChangedConfiguration apply(
         const v1::ChangeRequest& request, const v1::Configuration& base, std::string_view acceptedBy);
 
@@ -40,7 +40,7 @@
     ChangedConfiguration result;
 };
 
-/** The remembered change with this id, or null. */
+/** The recent change with this id; null if there is none. */
 const v1::AppliedChange* findAppliedChange(const v1::Configuration& configuration, std::string_view changeId);
 
 }
--- a/Source/Configuration/ChangeCoordinator.cpp
+++ b/Source/Configuration/ChangeCoordinator.cpp
@@ -52,7 +52,7 @@
     if (this->options.key.empty())
         return this->listener->changeAnswered(call,
             refusal(v1::CHANGE_REFUSED, 0, "/change",
-                "operators of this deployment write to the store themselves; make the change there"));
+                "in this deployment operators write to the store directly; make the change there"));
     Commit change;
     change.call = call;
     change.request = request;
@@ -126,7 +126,7 @@
     if (const auto stored = decodeConfiguration(item->value))
         return this->decide(*stored, item->revision);
     this->finish(refusal(v1::CHANGE_REFUSED, 0, "/",
-        "the stored configuration cannot be read; restore its key in the store from a copy"));
+        "the stored configuration cannot be read; restore its key in the store from a backup"));
 }
 
 void ChangeCoordinator::decide(const v1::Configuration& base, StoreRevision storedAt)
@@ -136,7 +136,8 @@
         return this->accept(applied->revision());
     if (request.expected_revision() && request.expected_revision() != base.revision())
         return this->finish(refusal(v1::CHANGE_CONFLICT, base.revision(), "/expected_revision",
-            "the revision is " + std::to_string(base.revision()) + "; read it again and decide anew"));
+            "the revision is " + std::to_string(base.revision())
+                + "; read the configuration again and check whether the change is still wanted"));
     ChangeApplier applier;
     const ChangedConfiguration changed = applier.apply(request, base, this->options.instanceName);
     if (!changed.findings.empty())
@@ -194,9 +195,9 @@
 {
     if (this->commit->writeUncertain)
         return this->finish(refusal(v1::CHANGE_UNKNOWN, 0, "/",
-            "the store gave no answer; the change may take effect; ask again with the same change_id"));
+            "the store did not answer; the change may still take effect; send it again with the same change_id"));
     this->finish(
-        refusal(v1::CHANGE_REFUSED, 0, "/", "the store cannot be reached; nothing was changed; ask again later"));
+        refusal(v1::CHANGE_REFUSED, 0, "/", "the store cannot be reached; nothing was changed; try again later"));
 }
 
 }
--- a/Source/Configuration/ChangeCoordinator.h
+++ b/Source/Configuration/ChangeCoordinator.h
@@ -16,22 +16,21 @@
 namespace burlreach {
 
 /**
- * Writes operators' changes into the store, in burlreach's own form.
+ * Writes operators' changes to the store, in burlreach's native format.
  *
- * One change at a time is read, applied and written under the condition that
- * the document has not changed since. The store's acknowledgement is what the
- * operator gets. An answer that was lost is resolved by reading again: the
- * change is found by its id, or the condition still holds and the same write
- * is tried again, or the document moved on and the lost write can no longer
- * take effect.
+ * Changes are handled one at a time: the document is read, the change is applied, and the result is written on the
+ * condition that the document has not changed since. The operator gets an answer after the store has acknowledged the
+ * write. If the answer to a write is lost, the document is read again. Then either it contains the id of the change,
+ * which is accepted; or its revision is unchanged and the same write is tried again; or its revision has changed, so
+ * that the lost write can no longer take effect, and the change is applied to the new document.
  */
 class ChangeCoordinator {
 public:
     struct Options {
         std::string instanceName;
-        std::string key; // of the document; empty: operators write to the store themselves
-        Milliseconds storeAnswerTimeout{ 2000 };
-        Milliseconds commitTimeout{ 8000 };
+        std::string key; // of the document; empty: operators write to the store directly
+        Milliseconds storeAnswerTimeout{ 2000 }; // for each call to the store
+        Milliseconds commitTimeout{ 8000 }; // for a change, with all retries
     };
 
     ChangeCoordinator(Options options, ChangeListener& listener, StoreCallNumbers& numbers, Random& random);
@@ -39,9 +38,9 @@
     void start(OperatorCallNumber call, const v1::ChangeRequest& request, Milliseconds now);
     /** True when the answer belonged to a call of this object. */
     bool answered(const StoreAnswer& answer, Milliseconds now);
-    /** What was written and acknowledged since the last call; this instance need not wait to hear of it. */
+    /** The item written and acknowledged since the last call, so that this instance need not wait for its watch. */
     std::optional<StoreItem> takeWritten() { return std::exchange(this->written, std::nullopt); }
-    /** The next call, if it is time for one. */
+    /** The next call to the store, if one is due. */
     std::optional<StoreRequest> next(Milliseconds now);
     Milliseconds nextDue() const;
 
@@ -52,13 +51,13 @@
         Writing
     };
 
-    /** The change that is being written. */
+    /** The change that is being committed. */
     struct Commit {
         OperatorCallNumber call = 0;
         v1::ChangeRequest request;
         Phase phase = Phase::Pausing;
         Milliseconds nextStep = LongAgo; // end of the pause
-        Milliseconds giveUp;
+        Milliseconds giveUp; // deadline of the change
         StoreCallNumber storeCall = 0;
         std::optional<StoreRequest> toSend;
         std::uint32_t writtenRevision = 0;
--- a/Source/Configuration/ChangeListener.h
+++ b/Source/Configuration/ChangeListener.h
@@ -8,7 +8,7 @@
 
 using OperatorCallNumber = std::uint64_t;
 
-/** Hears how operators' changes ended. */
+/** Receives the results of operators' changes. */
 class ChangeListener {
 public:
     virtual ~ChangeListener() = default;
--- a/Source/Configuration/ConfigurationChecker.cpp
+++ b/Source/Configuration/ConfigurationChecker.cpp
@@ -59,11 +59,11 @@
         const std::string place = indexed("/services", index);
         this->checkService(service, place);
         if (!names.insert(service.name()).second)
-            this->findings.add(place + "/name", "\"" + service.name() + "\" is there already; choose another name");
+            this->findings.add(place + "/name", "\"" + service.name() + "\" already exists; choose another name");
         for (const std::string& host : service.hosts()) {
             if (!hosts.insert(host).second)
                 this->findings.add(
-                    place + "/hosts", "\"" + host + "\" belongs to a service already; remove it there first");
+                    place + "/hosts", "\"" + host + "\" already belongs to a service; remove it there first");
         }
     }
     this->checkEmptiedDataCentres(configuration);
@@ -83,7 +83,7 @@
         const std::string place = indexed("/emptied_data_centres", index);
         this->checkName(name, place);
         if (!names.insert(name).second)
-            this->findings.add(place, "\"" + name + "\" is there already; name each data centre once");
+            this->findings.add(place, "\"" + name + "\" is a duplicate; write each data centre once");
     }
 }
 
@@ -97,12 +97,13 @@
         const std::string place = indexed("/customers", index);
         this->checkCustomer(customer, place);
         if (!names.insert(customer.name()).second)
-            this->findings.add(place + "/name", "\"" + customer.name() + "\" is there already; choose another name");
+            this->findings.add(place + "/name", "\"" + customer.name() + "\" already exists; choose another name");
         for (const std::string& digest : customer.key_digests()) {
             const auto [holder, isNew] = holders.emplace(digest, customer.name());
             if (!isNew)
                 this->findings.add(place + "/key_digests",
-                    "has a key that \"" + std::string(holder->second) + "\" holds already; give it one of its own");
+                    "has a key that already belongs to \"" + std::string(holder->second)
+                        + "\"; give each customer keys of its own");
         }
     }
 }
@@ -111,10 +112,10 @@
 {
     this->checkName(customer.name(), place + "/name");
     for (int index = 0; index < customer.key_digests_size(); ++index) {
-        // What stands there is not repeated: it may be a key.
+        // The finding does not repeat the text, because it may be a key.
         if (!parseKeyDigest(customer.key_digests(index)))
             this->findings.add(indexed(place + "/key_digests", index),
-                "is no SHA-256 digest; write the 64 lower-case hexadecimal digits, never the key");
+                "is not a SHA-256 digest; write its 64 lower-case hexadecimal digits, never the key itself");
     }
     this->checkAtMost(customer.requests_per_second(), MaximumRate, place + "/requests_per_second");
     this->checkAtMost(customer.burst(), MaximumRate, place + "/burst");
@@ -134,7 +135,7 @@
 void ConfigurationChecker::checkHosts(const v1::Service& service, const std::string& place)
 {
     if (service.hosts().empty())
-        this->findings.add(place, "is empty; name at least one Host value, such as \"bookings.example\"");
+        this->findings.add(place, "is empty; write at least one Host value, such as \"bookings.example\"");
     for (int index = 0; index < service.hosts_size(); ++index)
         this->checkName(service.hosts(index), indexed(place, index));
 }
@@ -148,7 +149,7 @@
         this->checkBackendServer(server, indexed(place, index));
         if (!names.insert(server.name()).second)
             this->findings.add(
-                indexed(place, index) + "/name", "\"" + server.name() + "\" is there already; choose another name");
+                indexed(place, index) + "/name", "\"" + server.name() + "\" already exists; choose another name");
     }
 }
 
@@ -157,7 +158,7 @@
     this->checkName(server.name(), place + "/name");
     if (!isIpNumber(server.address()))
         this->findings.add(
-            place + "/address", "\"" + server.address() + "\" is not an IP number; write one such as \"10.0.0.7\"");
+            place + "/address", "\"" + server.address() + "\" is not an IP address; write one such as \"10.0.0.7\"");
     if (!server.port() || server.port() > MaximumPort)
         this->findings.add(place + "/port", "is " + std::to_string(server.port()) + "; write a port from 1 to 65535");
     this->checkName(server.data_centre(), place + "/data_centre");
@@ -173,7 +174,7 @@
         this->checkRule(rule, indexed(place, index));
         if (!keys.insert(rule.method() + " " + rule.path_prefix()).second)
             this->findings.add(
-                indexed(place, index), "has the method and path_prefix of another rule; keep one of them");
+                indexed(place, index), "has the same method and path_prefix as another rule; keep one of them");
     }
 }
 
@@ -182,7 +183,7 @@
     if (!isUpperCaseWord(rule.method()))
         this->findings.add(place + "/method",
             "\"" + rule.method()
-                + "\" is no method; write one in capitals, such as \"POST\", or leave it empty for all");
+                + "\" is not a method; write one in capitals, such as \"POST\", or leave it empty for all methods");
     if (rule.path_prefix().empty() || rule.path_prefix().front() != '/'
         || rule.path_prefix().size() > MaximumPathLength)
         this->findings.add(
@@ -216,14 +217,14 @@
         return;
     std::string message = "\"";
     message.append(name.substr(0, MaximumNameLength));
-    message.append("\" is no name; write 1 to 63 letters, digits, \"-\", \".\" or \"_\"");
+    message.append("\" is not a valid name; write 1 to 63 letters, digits, \"-\", \".\" or \"_\"");
     this->findings.add(place, message);
 }
 
 void ConfigurationChecker::checkAtMost(std::size_t value, std::size_t highest, const std::string& place)
 {
     if (value > highest)
-        this->findings.add(place, "is " + std::to_string(value) + "; the most is " + std::to_string(highest));
+        this->findings.add(place, "is " + std::to_string(value) + "; the maximum is " + std::to_string(highest));
 }
 
 }
--- a/Source/Configuration/ConfigurationChecker.h
+++ b/Source/Configuration/ConfigurationChecker.h
@@ -9,10 +9,10 @@
 
 namespace burlreach {
 
-/** The stored document stays below this; the platform's bound is 1 MB. */
+/** The largest document to be stored; the platform's limit for a value is 1 MB. */
 inline constexpr std::size_t MaximumConfigurationBytes = 900000;
 
-/** Checks a configuration whole, before it is stored. */
+/** Validates a complete configuration before it is stored. */
 class ConfigurationChecker {
 public:
     Findings check(const v1::Configuration& configuration);
--- a/Source/Configuration/ConfigurationCodec.h
+++ b/Source/Configuration/ConfigurationCodec.h
@@ -8,10 +8,10 @@
 
 namespace burlreach {
 
-/** The JSON text of a configuration, as kept in the platform's service. */
+/** Encodes a configuration as JSON, as kept in the store. */
 std::string encodeConfiguration(const v1::Configuration& configuration);
 
-/** Nothing when the text is not a configuration. Unknown fields are kept out. */
+/** nullopt if the text is not a configuration with a revision. Unknown fields are ignored. */
 std::optional<v1::Configuration> decodeConfiguration(std::string_view text);
 
 }
--- a/Source/Configuration/FactTranslator.h
+++ b/Source/Configuration/FactTranslator.h
@@ -13,38 +13,38 @@
 
 namespace burlreach {
 
-/** What operators want of the backend servers of a data centre. */
+/** An operator's order for the backend servers of a data centre. */
 struct DataCentreOrder {
     std::string dataCentre;
-    bool emptied = false; // they get nothing new
+    bool emptied = false; // they get no new requests
 };
 
-/** What an item of the store says. */
+/** The content of a store item: the parts of the configuration that it sets or changes. */
 struct Facts {
     std::optional<RoutingConfiguration> configuration;
     std::vector<BackendServerRecord> backendServers; // new or changed
-    std::vector<std::string> goneBackendServers; // ids
-    bool areAllBackendServers = false; // those not named are gone
-    std::vector<std::string> unusableBackendServers; // ids whose records cannot be read; not to be used any more
+    std::vector<std::string> goneBackendServers; // ids of removed ones
+    bool areAllBackendServers = false; // the list is complete: those not in it are removed
+    std::vector<std::string> unusableBackendServers; // ids with unreadable records, which must no longer be used
     std::vector<DataCentreOrder> dataCentres; // new or changed
-    bool areAllDataCentres = false; // those not named are in use
+    bool areAllDataCentres = false; // the list is complete: those not in it are in use
     std::vector<RolloutOrder> rollouts; // new, changed or withdrawn
-    bool areAllRollouts = false; // those not named are withdrawn
-    Findings findings; // why the item could not be read; it is ignored then
+    bool areAllRollouts = false; // the list is complete: those not in it are withdrawn
+    Findings findings; // why the item could not be read; the item is then ignored
 };
 
-/** Reads the items of the store in the form in which operators and backend servers write them. */
+/** Translates store items from the format in which operators and backend servers write them. */
 class FactTranslator {
 public:
     virtual ~FactTranslator() = default;
-    /** Keys with this prefix are watched. */
+    /** The prefix of the keys to watch. */
     virtual std::string watchedPrefix() const = 0;
     virtual Facts translate(const StoreItem& item) const = 0;
-    /** What operators find in the store of a roll-out, under which key; an empty key: they ask the instances. */
+    /** The item with the state of a service's roll-out for operators; an empty key: they ask the instances instead. */
     virtual StoreItem rolloutStatus(const std::string&, const RolloutState&) const { return {}; }
     /**
-     * The value with digests in place of the secrets in it, which no instance keeps or passes on; nothing when it
-     * holds none. The same on every instance, and translate() reads it as it reads the value.
+     * The value of the item with digests in place of its secrets, which no instance keeps or sends to others; nullopt
+     * if it contains none. The result is the same on every instance, and translate() gives the same result for both.
      */
     virtual std::optional<std::string> withoutSecrets(const StoreItem&) const { return std::nullopt; }
 };
--- a/Source/Configuration/OwnFactTranslator.cpp
+++ b/Source/Configuration/OwnFactTranslator.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr const char* OwnProbePath = "/burlreach/load";
-constexpr double UsualProbeBudget = 180; // milliseconds a second: 30 probes of 6 ms
+constexpr double UsualProbeBudget = 180; // milliseconds of probe time per second: 30 probes of 6 ms
 constexpr double Hundred = 100;
 constexpr std::uint32_t RankFirst = 0;
 constexpr std::uint32_t RankCanWait = 1;
@@ -26,7 +26,7 @@
     return given ? Milliseconds{ static_cast<double>(given) } : UsualDeadline;
 }
 
-/** Without a rule GET, HEAD and OPTIONS may repeat and all else runs once. */
+/** The service's rules and the defaults: GET, HEAD and OPTIONS may repeat, all other methods run once. */
 std::vector<v1::RequestRule> rulesOf(const v1::Service& service)
 {
     std::vector<v1::RequestRule> rules(service.rules().begin(), service.rules().end());
@@ -105,7 +105,7 @@
 {
     BackendServerRecord record;
     record.address = { .host = server.address(), .port = static_cast<std::uint16_t>(server.port()) };
-    // A moved backend server is another life.
+    // The address is part of the id: at another address it is another backend server.
     record.id = service.name() + "/" + server.name() + "@" + record.address.text();
     record.life = server.life();
     record.service = service.name();
@@ -155,7 +155,7 @@
     if (const auto configuration = decodeConfiguration(item.value))
         return factsOf(*configuration);
     Facts facts;
-    facts.findings.add(item.key, "is not a configuration; restore the key from a copy");
+    facts.findings.add(item.key, "is not a configuration; restore the key from a backup");
     return facts;
 }
 
--- a/Source/Configuration/OwnFactTranslator.h
+++ b/Source/Configuration/OwnFactTranslator.h
@@ -5,12 +5,12 @@
 
 namespace burlreach {
 
-/** The key of the operators' configuration in burlreach's own form. */
+/** The store key of the operators' configuration in burlreach's native format. */
 inline constexpr const char* OwnConfigurationKey = "burlreach/configuration";
 
 /**
- * burlreach's own form: one document, changed by operators' calls, holds
- * services, their rules and their backend servers (configuration.proto).
+ * Translates burlreach's native format: one document with the services, their rules and their backend servers
+ * (configuration.proto), which operators change through calls to burlreach.
  */
 class OwnFactTranslator final : public FactTranslator {
 public:
@@ -18,7 +18,7 @@
     Facts translate(const StoreItem& item) const override;
 };
 
-/** The facts in a configuration of burlreach's own form. */
+/** Translates a configuration in the native format. */
 Facts factsOf(const v1::Configuration& configuration);
 
 }
--- a/Source/Configuration/RoutingConfiguration.h
+++ b/Source/Configuration/RoutingConfiguration.h
@@ -16,40 +16,40 @@
     RunOnce
 };
 
-/** One part of a route's requests. */
+/** A weighted target of a route. */
 struct WeightedService {
     std::string service;
-    std::uint32_t weight = 1;
+    std::uint32_t weight = 1; // of the requests, relative to the other targets of the route
 };
 
-/** How the requests of a host and path prefix are treated. */
+/** How the requests with a host, method and path prefix are handled. */
 struct Route {
     std::string name;
     std::string host;
     std::string method; // empty: every method
     std::string pathPrefix;
     Repeat repeat = Repeat::RunOnce;
-    Milliseconds timeout{ 10000 }; // by then the caller has its final answer
+    Milliseconds timeout{ 10000 }; // within which the caller gets its final answer
     Milliseconds targetLatency{ 1000 }; // an answer after this is late
-    unsigned mostAttempts = 3; // backend servers that may run one request
-    std::uint32_t rank = 0; // 0 goes first
+    unsigned mostAttempts = 3; // how many backend servers may run one request
+    std::uint32_t rank = 0; // priority rank; 0 is served first
     bool isPublic = false; // requests need no key
     std::vector<WeightedService> services; // never empty
 };
 
-/** What operators set for a service. */
+/** The settings of a service, as set by operators. */
 struct ServiceDescription {
     std::string name;
     std::string probePath; // empty: the service cannot be probed
-    std::size_t connectionsPerBackendServer = 200; // summed over all instances
-    std::size_t queueLength = 200; // requests waiting at one instance
-    double retryShare = 1; // of the fleet's share of retries; less for a service that wants fewer
-    double probeShare = 1; // of the probes that the settings allow
-    double coldRequestsPerSecond = 0; // that a cold backend server bears, from all instances together; 0: no bound
-    Milliseconds coldStart; // for so long it is cold after a pause
+    std::size_t connectionsPerBackendServer = 200; // of all instances together
+    std::size_t queueLength = 200; // requests that wait at one instance
+    double retryShare = 1; // highest share of retries; the settings may have a lower one
+    double probeShare = 1; // factor for the number of probes that the settings allow
+    double coldRequestsPerSecond = 0; // limit for a cold backend server, from all instances together; 0: no limit
+    Milliseconds coldStart; // how long a backend server is cold after a pause
 };
 
-/** What callers may send, and how long they may take. */
+/** Limits on what callers send and how long they take. */
 struct CallerLimits {
     std::size_t headerBytes = 8192;
     std::size_t bodyBytes = 1048576;
@@ -59,12 +59,12 @@
     bool operator==(const CallerLimits&) const = default;
 };
 
-/** The operators' configuration as the decisions use it. */
+/** The operators' configuration, in the form used for routing. */
 struct RoutingConfiguration {
-    std::uint64_t version = 0; // as operators count it
+    std::uint64_t version = 0; // the operators' revision or version number
     std::vector<Route> routes;
     std::vector<ServiceDescription> services;
-    std::vector<Customer> customers; // where there are any, requests need a key
+    std::vector<Customer> customers; // if there are any, requests need a key
     CallerLimits callerLimits;
 };
 
--- a/Tests/Configuration/ChangeApplierTest.cpp
+++ b/Tests/Configuration/ChangeApplierTest.cpp
@@ -48,7 +48,7 @@
 
 TEST_GROUP(ChangeApplier){};
 
-TEST(ChangeApplier, RefusesWithAllFindingsOrGivesTheNextRevision)
+TEST(ChangeApplier, RefusesWithAllFindingsOrReturnsTheNextRevision)
 {
     const v1::Configuration base = *decodeConfiguration(Base);
     for (const Case& item : Cases) {
--- a/Tests/Configuration/OwnFactTranslatorTest.cpp
+++ b/Tests/Configuration/OwnFactTranslatorTest.cpp
@@ -20,7 +20,7 @@
         {"path_prefix": "/search/export", "repeat": "RUN_ONCE", "priority": "CAN_WAIT"},
         {"method": "GET", "path_prefix": "/book", "repeat": "RUN_ONCE"}]}]})";
 
-/** How a request is treated. */
+/** A request and the expected values of its route. */
 struct Case {
     const char* method;
     const char* path;
@@ -49,7 +49,7 @@
     Facts facts = factsOf(*decodeConfiguration(Document));
 };
 
-TEST(OwnFactTranslator, TheMostExactRuleDecides)
+TEST(OwnFactTranslator, TheMostSpecificRuleApplies)
 {
     const RouteTable table(*this->facts.configuration);
     for (const Case& item : Cases) {
@@ -75,7 +75,7 @@
     CHECK(server.draining);
 }
 
-TEST(OwnFactTranslator, WhatCannotBeReadIsToldAndChangesNothing)
+TEST(OwnFactTranslator, ReportsAnUnreadableItemAndChangesNothing)
 {
     const OwnFactTranslator translator;
     const Facts bad
