--- a/Source/Store/StoreCallNumbers.h
+++ b/Source/Store/StoreCallNumbers.h
@@ -4,7 +4,7 @@
 
 namespace burlreach {
 
-/** Gives every call of one instance a number of its own. */
+/** Generates the numbers of store calls, which are unique within one instance. */
 class StoreCallNumbers {
 public:
     StoreCallNumber next() { return ++this->last; }
--- a/Source/Store/StoreItem.h
+++ b/Source/Store/StoreItem.h
@@ -5,10 +5,10 @@
 
 namespace burlreach {
 
-/** Orders every change in the store; 0 stands before the first one. */
+/** Orders all changes in the store; 0 is before the first change. */
 using StoreRevision = std::uint64_t;
 
-/** A key of the store with its latest value, or the news that it was removed. */
+/** A key of the store with its latest value, or its removal. */
 struct StoreItem {
     std::string key;
     std::string value;
--- a/Source/Store/StoreReader.cpp
+++ b/Source/Store/StoreReader.cpp
@@ -38,7 +38,7 @@
     }
     if (this->pending || now < this->pausedUntil)
         return std::nullopt;
-    // Another instance told everything meanwhile.
+    // Meanwhile another instance sent everything, so the reading in progress is no longer needed.
     if (this->pagesMayBeStale && !this->isFirstReading())
         this->pages.clear();
     if (this->mustRead()) {
@@ -62,7 +62,7 @@
 
 bool StoreReader::mustRead() const
 {
-    // A view that came from another instance is watched from where it stands.
+    // A view received from another instance needs no reading: a watch continues from its revision.
     return this->historyLost || !this->pages.empty() || !this->view->revision();
 }
 
@@ -95,7 +95,7 @@
 StoreNews StoreReader::rangeRead(const StoreAnswer& answer, Milliseconds now)
 {
     this->latency = now - this->sentAt;
-    // Pages are no snapshot: later ones show a later revision or, when they may be stale, an earlier one.
+    // The pages are not one snapshot: a later page may show a later revision or, if stale, an earlier one.
     this->pagesAt = this->pages.empty() ? answer.at : std::min(this->pagesAt, answer.at);
     this->pages.insert(this->pages.end(), answer.items.begin(), answer.items.end());
     if (answer.more && !answer.items.empty())
--- a/Source/Store/StoreReader.h
+++ b/Source/Store/StoreReader.h
@@ -14,48 +14,48 @@
 
 namespace burlreach {
 
-/** What an answer of the store changed here. */
+/** The effect of an answer of the store on the view. */
 struct StoreNews {
     std::vector<StoreItem> changes;
-    bool isConfirmed = false; // the view was complete when the call was sent
+    bool isConfirmed = false; // the answer shows that the view was complete at confirmedAt
     Milliseconds confirmedAt = LongAgo;
-    bool isStaleReading = false; // everything was read, as it was some seconds ago at most
+    bool isStaleReading = false; // everything was read, but the answers may be some seconds old
     bool isFailure = false; // the store gave no usable answer
 };
 
 /**
- * Decides when this instance asks the store: it reads everything once, then
- * watches as long as it is told to, and reads everything again when the store
- * has forgotten the changes in between. A call without a usable answer is
- * followed by a pause that grows, with jitter.
+ * Decides when this instance calls the store, one call at a time. It reads everything once, then watches for as long as
+ * the caller wants, and reads everything again when the store no longer has the changes in between. A call without a
+ * usable answer is followed by a backoff with jitter.
  *
- * The first reading may be some seconds old, which spares the store most when
- * a whole fleet starts: news of other instances or a watch from its revision
- * bring what it lacks.
+ * The first reading may be some seconds old, which saves the store most of the work when a whole fleet starts: gossip
+ * updates of other instances, or a watch from its revision, bring the changes that it lacks.
  */
 class StoreReader {
 public:
     struct Options {
-        std::string prefix; // of the keys that are watched
-        Milliseconds firstReadingSpread; // drawn from: other instances may tell everything before it is due
-        Milliseconds watchWait{ 1200 }; // also how often a quiet store confirms the view
-        Milliseconds watchGap{ 150 }; // between changes and the next watch, so that changes in a row come together
-        Milliseconds readTimeout{ 800 }; // without a byte; doubled after a silence, up to the longest
-        Milliseconds longestReadTimeout{ 1600 }; // hundreds that read at once share the store's link
-        Milliseconds watchGrace{ 500 }; // a watch without an answer is given up this long after its wait
+        std::string prefix; // of the keys to watch
+        /** The longest random delay of the first reading, before which other instances may send everything. */
+        Milliseconds firstReadingSpread;
+        Milliseconds watchWait{ 1200 }; // also the interval at which a watch without changes confirms the view
+        Milliseconds watchGap{ 150 }; // pause after changes, so that further changes come with one answer
+        Milliseconds readTimeout{ 800 }; // without a byte of the answer; doubled after each timeout
+        Milliseconds longestReadTimeout{ 1600 }; // hundreds of instances that read at once share the store's link
+        Milliseconds watchGrace{ 500 }; // timeout of a watch after its wait
         Backoff::Options backoff{ .first = { 100 }, .longest = { 1500 } };
     };
 
     StoreReader(Options options, StoreView& view, StoreCallNumbers& numbers, Random& random);
 
-    /** The next call, if it is time for one. */
+    /** The next call to the store, if one is due. */
     std::optional<StoreRequest> next(Milliseconds now, bool shouldWatch);
     StoreNews answered(const StoreAnswer& answer, Milliseconds now);
 
+    /** A call is under way. */
     bool isAsking() const { return this->pending != 0; }
-    /** Watching, or about to. */
+    /** This instance watches the store, or will after the present reading or pause. */
     bool isWatching() const { return this->watching; }
-    /** When next() may give a call again; Never while one is under way. */
+    /** When next() may return a call again; Never while one is under way. */
     Milliseconds nextAt() const { return this->pending ? Never : this->pausedUntil; }
 
 private:
@@ -64,7 +64,7 @@
     StoreNews rangeRead(const StoreAnswer& answer, Milliseconds now);
     StoreNews watched(const StoreAnswer& answer, Milliseconds now);
     bool mustRead() const;
-    /** Nothing is known yet, neither of the store nor of other instances. */
+    /** The view is still empty: neither the store nor another instance has filled it. */
     bool isFirstReading() const { return !this->historyLost && !this->view->revision(); }
 
     Options options;
@@ -75,16 +75,16 @@
     StoreCallNumber pending = 0;
     StoreOperation pendingOperation = StoreOperation::ReadRange;
     Milliseconds sentAt = LongAgo;
-    Milliseconds readingSince = LongAgo; // when the first page was asked for
+    Milliseconds readingSince = LongAgo; // when the first page was requested
     Milliseconds pausedUntil = LongAgo;
-    Milliseconds readPatience; // the time-out of the next reading
-    Milliseconds latency; // of the store's answers, as last measured
-    bool hasBegun = false; // the moment of the first reading is drawn
+    Milliseconds readPatience; // timeout of the next reading
+    Milliseconds latency; // of the store's last answer, without the wait of a watch
+    bool hasBegun = false; // the time of the first reading has been chosen
     bool historyLost = false; // everything must be read before the next watch
     bool watching = false;
-    std::vector<StoreItem> pages;
+    std::vector<StoreItem> pages; // items read so far
     bool pagesMayBeStale = false;
-    StoreRevision pagesAt = 0; // through which all of them together are complete
+    StoreRevision pagesAt = 0; // up to which the pages together are complete
 };
 
 }
--- a/Source/Store/StoreView.cpp
+++ b/Source/Store/StoreView.cpp
@@ -7,9 +7,12 @@
 
 namespace {
 
-/** Enough for the removals of many minutes; whoever is further behind takes everything. */
+/** Enough for the removals of many minutes; an instance that is further behind is sent everything. */
 constexpr std::size_t RememberedRemovals = 1024;
-/** Of a key. Others that hear of a change hold one of the last two; a third for those whose news were lost. */
+/**
+ * Earlier large values kept for each key. Instances that are sent a change normally have one of the last two values;
+ * the third is for those that missed an update.
+ */
 constexpr std::size_t EarlierValuesKept = 3;
 
 }
@@ -108,7 +111,7 @@
 {
     if (through <= this->completeThrough)
         return;
-    // Of two gaps only the later one is remembered.
+    // Only the latest gap is kept, so changes before the end of the previous one count as unknown.
     this->changesKnownSince = std::max(this->changesKnownSince, this->gapThrough);
     this->gapAfter = this->completeThrough;
     this->gapThrough = through;
--- a/Source/Store/StoreView.h
+++ b/Source/Store/StoreView.h
@@ -13,39 +13,44 @@
 
 namespace burlreach {
 
-/** Longer values are large: they are sent packed, after small ones, and translated apart from other decisions. */
+/** Values of at least this size are sent compressed, after the small ones, and translated outside the decisions. */
 inline constexpr std::size_t LargeValueBytes = 16384;
 
 /**
- * This instance's copy of the watched part of the store, with the revision
- * through which it is complete.
+ * This instance's copy of the watched part of the store, with the revision up to which it is complete.
  *
- * Whoever tells a change, the higher revision of a key wins, so an older fact
- * never replaces a newer one. Removed keys are remembered for a while, so that
- * other instances can be given just what changed. A change may be taken before
- * earlier ones are known; the view is then not complete through it. The last
- * few large values of a key are kept, to pack later ones against.
+ * Of two changes of a key the one with the higher revision wins, in whatever order and from whichever source they
+ * arrive. Removals are kept for a while, so that other instances can be sent only what changed. A change may be applied
+ * before earlier ones are known; the view is then not complete up to its revision. The last large values of each key
+ * are kept as bases for the compression of later values.
  */
 class StoreView {
 public:
-    /** Takes changes that are complete between the two revisions; gives those that were news. */
+    /**
+     * Applies changes that are complete from revision() to `through`; returns those that changed the view. With
+     * `through` at or below revision(), the changes may be incomplete.
+     */
     std::vector<StoreItem> applyChanges(std::span<const StoreItem> changes, StoreRevision through);
 
     /**
-     * Takes all items as they were read. Keys that are missing and were last
-     * changed at or before the revision count as removed.
+     * Applies a complete reading of all items; returns the changes to the view. Keys that are missing from it and were
+     * last changed at or before the revision are removed.
      */
     std::vector<StoreItem> replaceAll(std::span<const StoreItem> all, StoreRevision at);
 
-    /** Nothing when the changes since that revision are no longer known one by one. */
+    /** All changes after the revision; nullopt if they are no longer known one by one. */
     std::optional<std::vector<StoreItem>> changesSince(StoreRevision revision) const;
     std::vector<StoreItem> all() const;
 
-    /** Null when the key is absent or removed. */
+    /** Null if the key is absent or removed. */
     const StoreItem* find(std::string_view key) const;
-    /** The value that a key got at this revision, when it is its value now or one of its last large ones; else null. */
+    /** The value that the key got at exactly this revision; null unless it is the present value or a kept earlier one.
+     */
     const StoreItem* at(std::string_view key, StoreRevision revision) const;
-    /** What whoever is complete through this revision has of the key, as far as it is kept here; else null. */
+    /**
+     * The latest value of the key up to this revision, which is the one of an instance that is complete up to it; null
+     * unless it is the present value or a kept earlier one.
+     */
     const StoreItem* heldAt(std::string_view key, StoreRevision through) const;
     StoreRevision revision() const { return this->completeThrough; }
     std::size_t size() const { return this->items.size(); }
@@ -53,17 +58,21 @@
 private:
     bool take(const StoreItem& item);
     void remember(const StoreItem& removal);
-    /** A large value that is about to be replaced. */
+    /** Keeps a value that is about to be replaced, if it is large. */
     void keepEarlier(StoreItem item);
-    /** A reading leads to this revision; keys may have come and gone on the way. */
+    /** Records that a reading skips to this revision: keys that were added and removed on the way are unknown. */
     void noteGap(StoreRevision through);
 
     std::map<std::string, StoreItem, std::less<>> items;
-    std::deque<StoreItem> removals; // in the order in which they were heard
+    std::deque<StoreItem> removals; // in order of arrival
     std::map<std::string, std::deque<StoreItem>, std::less<>> earlier; // large values by key, the latest last
-    StoreRevision changesKnownSince = 0;
-    StoreRevision gapAfter = 0; // between these two the changes are not known one by one,
-    StoreRevision gapThrough = 0; // but all that follows from the first of them is
+    StoreRevision changesKnownSince = 0; // earlier changes are not known one by one
+    /**
+     * The latest gap. An instance that is complete up to exactly gapAfter can be sent the changes since then, one that
+     * is complete up to a revision within the gap cannot: it may have keys that were added and removed in the gap.
+     */
+    StoreRevision gapAfter = 0;
+    StoreRevision gapThrough = 0;
     StoreRevision completeThrough = 0;
 };
 
--- a/Source/Store/ValuePacking.cpp
+++ b/Source/Store/ValuePacking.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/** Of the library's 1 to 19, the quickest; a document of 787 KB became 56 KB (own day with 4,500 routes). */
+/** The fastest of zstd's levels 1 to 19. It compresses a document of 787 KB with 4,500 routes to 56 KB. */
 constexpr int PackingLevel = 1;
-/** In powers of two: the value and its base lie within one window of 32 MB. */
+/** The binary logarithm of the window size: 32 MB, enough for a value and its base. */
 constexpr int WindowPower = 25;
 
 using PackingContext = std::unique_ptr<ZSTD_CCtx, decltype(&ZSTD_freeCCtx)>;
@@ -23,7 +23,7 @@
     if (!context)
         return {};
     ZSTD_CCtx_setParameter(context.get(), ZSTD_c_compressionLevel, PackingLevel);
-    // Tells a wrong base from the right one.
+    // The checksum detects a wrong base.
     ZSTD_CCtx_setParameter(context.get(), ZSTD_c_checksumFlag, 1);
     if (!base.empty()) {
         ZSTD_CCtx_setParameter(context.get(), ZSTD_c_windowLog, WindowPower);
--- a/Source/Store/ValuePacking.h
+++ b/Source/Store/ValuePacking.h
@@ -7,17 +7,17 @@
 
 namespace burlreach {
 
-/** Longer values are never unpacked: several times what a store takes as one value. */
+/** The largest value to decompress, several times the largest value that a store accepts. */
 inline constexpr std::size_t LongestPlainValue = 16777216;
 
 /**
- * Compresses a value. What it shares with the base costs next to nothing, so a
- * document with a small change becomes a few dozen bytes; an empty base is
- * none. Empty when the library fails, which only lack of memory brings about.
+ * Compresses a value with an optional base as dictionary. Content shared with the base takes almost no space: a
+ * document with a small change becomes a few dozen bytes. Returns an empty string if zstd fails, which only happens
+ * when memory runs out.
  */
 std::string packValue(std::string_view value, std::string_view base);
 
-/** The value again; nothing when the bytes are damaged, or were packed against another base. */
+/** Decompresses a value; nullopt if the bytes are damaged or were compressed with another base. */
 std::optional<std::string> unpackValue(std::string_view packed, std::string_view base, std::size_t plainBytes);
 
 }
--- a/Tests/Store/StoreReaderTest.cpp
+++ b/Tests/Store/StoreReaderTest.cpp
@@ -35,7 +35,7 @@
         return this->reader.answered(given, now);
     }
 
-    /** Reads everything at revision 7, so that a watch comes next. */
+    /** Reads everything at revision 7, so that the next call is a watch. */
     void readAll(Milliseconds now)
     {
         const auto request = this->reader.next(now, true);
@@ -45,24 +45,24 @@
 
 namespace {
 
-/** Two pages of a reading and the revisions that they show. */
+/** A reading of two pages and the revisions that they show. */
 struct PagesCase {
     const char* name;
-    bool isFirst; // nothing is known before it
+    bool isFirst; // the view was empty before
     StoreRevision firstAt;
     StoreRevision secondAt;
-    StoreRevision complete;
+    StoreRevision complete; // up to which the view is expected to be complete
 };
 
 const std::vector<PagesCase> PagesCases{
-    { "later pages are no part of the first revision", true, 7, 9, 7 },
-    { "a later page may show an earlier state", true, 9, 7, 7 },
-    { "after the history was lost everything is read anew", false, 17, 19, 17 },
+    { "a later page may show a later revision", true, 7, 9, 7 },
+    { "a later page may show an earlier revision", true, 9, 7, 7 },
+    { "everything is read again after the history was lost", false, 17, 19, 17 },
 };
 
 }
 
-TEST(StoreReader, ReadsPageAfterPageAndIsCompleteFromTheEarliest)
+TEST(StoreReader, ReadsAllPagesAndIsCompleteUpToTheEarliestRevision)
 {
     for (const PagesCase& item : PagesCases) {
         StoreView ownView;
@@ -87,12 +87,13 @@
         CHECK_EQUAL_TEXT(item.isFirst, whole.isStaleReading, item.name);
         CHECK(!whole.changes.empty());
         LONGS_EQUAL_TEXT(item.complete, ownView.revision(), item.name);
-        DOUBLES_EQUAL_TEXT(0, whole.confirmedAt.count, 0.01, "it was complete when the first page was asked for");
-        CHECK_FALSE_TEXT(this->reader.next({ 9 }, false).has_value(), "without the duty to watch nothing follows");
+        DOUBLES_EQUAL_TEXT(0, whole.confirmedAt.count, 0.01, "the view was complete when the first page was requested");
+        CHECK_FALSE_TEXT(
+            this->reader.next({ 9 }, false).has_value(), "there is no further call unless it should watch");
     }
 }
 
-TEST(StoreReader, LeavesOffItsFirstReadingWhenAnotherInstanceToldEverything)
+TEST(StoreReader, StopsItsFirstReadingWhenAnotherInstanceSentEverything)
 {
     const auto first = this->reader.next({ 0 }, true);
     this->answer(*first, StoreStatus::Done, { item("p/a", 3) }, 7, true, { 4 });
@@ -103,7 +104,7 @@
     LONGS_EQUAL(8, next->after);
 }
 
-TEST(StoreReader, WaitsLongerForAReadingAfterASilence)
+TEST(StoreReader, WaitsLongerForAReadingAfterATimeout)
 {
     const auto first = this->reader.next({ 0 }, true);
     this->answer(*first, StoreStatus::Unknown, {}, 0, false, first->timeout);
@@ -111,12 +112,12 @@
     DOUBLES_EQUAL(2 * first->timeout.count, second->timeout.count, 0.01);
     this->answer(*second, StoreStatus::Unknown, {}, 0, false, { 5000 });
     const auto third = this->reader.next(this->reader.nextAt(), true);
-    DOUBLES_EQUAL_TEXT(second->timeout.count, third->timeout.count, 0.01, "there is a longest one");
+    DOUBLES_EQUAL_TEXT(second->timeout.count, third->timeout.count, 0.01, "the timeout has a maximum");
     this->answer(*third, StoreStatus::Done, { item("p/a", 3) }, 7, true, { 9000 });
     DOUBLES_EQUAL(first->timeout.count, this->reader.next({ 9000 }, true)->timeout.count, 0.01);
 }
 
-TEST(StoreReader, WatchesFromWhereItStandsAndConfirmsQuiet)
+TEST(StoreReader, WatchesFromItsRevisionAndConfirmsTheViewWithoutChanges)
 {
     this->readAll({ 0 });
     const auto watch = this->reader.next({ 1 }, true);
@@ -127,7 +128,7 @@
     CHECK(quiet.confirmedAt >= Milliseconds{ 1 } + watch->wait);
 }
 
-TEST(StoreReader, TakesChangesInARowTogether)
+TEST(StoreReader, PausesAfterChangesToCollectFurtherOnes)
 {
     this->readAll({ 0 });
     const auto watch = this->reader.next({ 1 }, true);
@@ -146,7 +147,7 @@
     CHECK(again && again->operation == StoreOperation::ReadRange);
     CHECK(again->afterKey.empty());
     const StoreNews news = this->answer(*again, StoreStatus::Done, {}, 12, false, { 9 });
-    LONGS_EQUAL_TEXT(1, news.changes.size(), "a key that is missing was removed");
+    LONGS_EQUAL_TEXT(1, news.changes.size(), "a missing key was removed");
     CHECK(news.changes.front().removed);
 }
 
--- a/Tests/Store/StoreViewTest.cpp
+++ b/Tests/Store/StoreViewTest.cpp
@@ -19,7 +19,7 @@
     return { .key = key, .value = {}, .revision = revision, .removed = true };
 }
 
-/** Two changes of one key, in the order in which they are heard. */
+/** Two changes of one key, in the order in which they arrive. */
 struct Case {
     const char* name;
     StoreItem first;
@@ -50,7 +50,7 @@
     }
 };
 
-TEST(StoreView, TheNewestRevisionWinsInWhateverOrder)
+TEST(StoreView, TheHighestRevisionWinsInAnyOrder)
 {
     for (const Case& item : Cases) {
         StoreView each;
@@ -65,7 +65,7 @@
     }
 }
 
-TEST(StoreView, TellsOnlyNews)
+TEST(StoreView, ReturnsOnlyChangesToTheView)
 {
     LONGS_EQUAL(1, this->view.applyChanges(std::vector{ put("a", "x", 3) }, 3).size());
     LONGS_EQUAL(0, this->view.applyChanges(std::vector{ put("a", "x", 3) }, 3).size());
@@ -73,7 +73,7 @@
     LONGS_EQUAL(1, this->view.applyChanges(std::vector{ removal("a", 5) }, 5).size());
 }
 
-TEST(StoreView, AReadingRemovesWhatIsMissingUnlessItIsNewer)
+TEST(StoreView, AReadingRemovesMissingKeysUnlessTheyAreNewer)
 {
     this->view.applyChanges(std::vector{ put("old", "x", 3), put("newer", "y", 9) }, 9);
     const auto news = this->view.replaceAll(std::vector{ put("other", "z", 4) }, 7);
@@ -81,13 +81,13 @@
     CHECK(!this->valueOf("old"));
     STRCMP_EQUAL("y", this->valueOf("newer"));
     STRCMP_EQUAL("z", this->valueOf("other"));
-    LONGS_EQUAL_TEXT(9, this->view.revision(), "the revision never falls");
+    LONGS_EQUAL_TEXT(9, this->view.revision(), "the revision never decreases");
 }
 
-TEST(StoreView, GivesChangesSinceARevisionOrNothing)
+TEST(StoreView, ReturnsAllChangesSinceARevisionOrNone)
 {
     this->view.replaceAll(std::vector{ put("a", "x", 3), put("b", "y", 4) }, 5);
-    CHECK_TEXT(!this->view.changesSince(4), "what came and went before the reading is not known");
+    CHECK_TEXT(!this->view.changesSince(4), "keys added and removed before the reading are unknown");
     this->view.applyChanges(std::vector{ put("c", "z", 6), removal("a", 7) }, 7);
     const auto changes = this->view.changesSince(5);
     CHECK(changes.has_value());
@@ -95,17 +95,18 @@
     LONGS_EQUAL(0, this->view.changesSince(7)->size());
 }
 
-// After a store forgot its history, 142 instances were sent everything.
-TEST(StoreView, WhoWasUpToDateBeforeAReadingIsGivenWhatChanged)
+// Guards against sending everything to all instances after the store has lost its history, as happened in a fleet of
+// 142 instances: those that were up to date before the reading need only what changed.
+TEST(StoreView, AnInstanceUpToDateBeforeAReadingNeedsOnlyTheChanges)
 {
     StoreView reader;
     reader.replaceAll(std::vector{ put("a", "x", 3), put("b", "y", 4) }, 5);
     reader.replaceAll(std::vector{ put("a", "x", 3), put("c", "z", 8) }, 9);
-    CHECK_TEXT(!reader.changesSince(7), "it may have seen a key that came and went");
+    CHECK_TEXT(!reader.changesSince(7), "it may have a key that was added and removed in the gap");
     CHECK_TEXT(!reader.changesSince(4), "before the first reading");
     const auto changes = reader.changesSince(5);
     CHECK(changes.has_value());
-    LONGS_EQUAL_TEXT(2, changes->size(), "one key came, one went");
+    LONGS_EQUAL_TEXT(2, changes->size(), "one key was added, one removed");
     StoreView follower;
     follower.replaceAll(std::vector{ put("a", "x", 3), put("b", "y", 4) }, 5);
     follower.applyChanges(*changes, reader.revision());
@@ -114,7 +115,7 @@
     LONGS_EQUAL(9, follower.revision());
 }
 
-TEST(StoreView, AnInstanceThatFollowsTheChangesHasTheSameView)
+TEST(StoreView, AnInstanceThatAppliesTheChangesHasTheSameView)
 {
     StoreView follower;
     this->view.replaceAll(std::vector{ put("a", "x", 3), put("b", "y", 4) }, 5);
--- a/Tests/Store/ValuePackingTest.cpp
+++ b/Tests/Store/ValuePackingTest.cpp
@@ -28,24 +28,24 @@
     const char* name;
     std::string value;
     std::string base;
-    std::size_t mostBytes; // packed
+    std::size_t mostBytes; // when compressed
 };
 
 const std::vector<Case> Cases{
-    { "nothing", "", "", 32 },
+    { "empty", "", "", 32 },
     { "short", "a", "", 32 },
-    { "much the same within", std::string(50000, 'x'), "", 100 },
-    { "by itself", Document, "", 40000 },
-    { "a small change against what was before", Changed, Document, 200 },
-    { "the same as before", Document, Document, 100 },
-    { "nothing in common with what was before", randomText(30000, 2), Document, 30000 },
+    { "repeated content", std::string(50000, 'x'), "", 100 },
+    { "without a base", Document, "", 40000 },
+    { "a small change of the base", Changed, Document, 200 },
+    { "equal to the base", Document, Document, 100 },
+    { "nothing in common with the base", randomText(30000, 2), Document, 30000 },
 };
 
 }
 
 TEST_GROUP(ValuePacking){};
 
-TEST(ValuePacking, GivesTheValueAgainAndStaysSmall)
+TEST(ValuePacking, RestoresTheValueAndCompressesWell)
 {
     for (const Case& item : Cases) {
         const std::string packed = packValue(item.value, item.base);
@@ -55,7 +55,7 @@
     }
 }
 
-TEST(ValuePacking, AWrongBaseOrLengthIsNoticed)
+TEST(ValuePacking, DetectsAWrongBaseOrLength)
 {
     const std::string packed = packValue(Changed, Document);
     CHECK_FALSE(unpackValue(packed, randomText(40000, 3), Changed.size()).has_value());
@@ -65,7 +65,7 @@
     CHECK_FALSE(unpackValue(packed, Document, LongestPlainValue + 1).has_value());
 }
 
-TEST(ValuePacking, DamagedBytesNeverGiveAnotherValue)
+TEST(ValuePacking, DamagedBytesNeverResultInAnotherValue)
 {
     const std::string packed = packValue(Document, "");
     Random random(4);
