--- a/Source/Base/ChronoDuration.h
+++ b/Source/Base/ChronoDuration.h
@@ -6,7 +6,7 @@
 
 namespace burlreach {
 
-/** The span as libraries want it; at least a microsecond. */
+/** Converts to the duration type of the standard library; at least one microsecond. */
 std::chrono::microseconds toDuration(Milliseconds span);
 
 }
--- a/Source/Base/Clock.h
+++ b/Source/Base/Clock.h
@@ -4,7 +4,7 @@
 
 namespace burlreach {
 
-/** Gives the present time; never goes backwards. */
+/** A monotonic clock. */
 class Clock {
 public:
     virtual ~Clock() = default;
--- a/Source/Base/DealtBudget.h
+++ b/Source/Base/DealtBudget.h
@@ -9,29 +9,31 @@
 namespace burlreach {
 
 /**
- * An instance's part of a budget that a whole fleet shares without talking, one
- * a key. It is dealt in windows: for each key and window a draw says how much
- * may be spent, and what is not used is gone. So a part that is far less than
- * one a window can be spent from the first moment on, and instances that start
- * or wake together do not spend at once what each of them saved up.
+ * This instance's share of budgets that the whole fleet shares without communication, one budget per key.
+ *
+ * The share is available in whole units per time window. The fractional part is drawn at random for each key and
+ * window: 0.1 units a window become one unit in one of ten windows on average. Units that are not used expire with the
+ * window. So an instance can use a share far below one unit a window from the start, and instances that start or resume
+ * together do not all spend saved units at once.
  */
 class DealtBudget {
 public:
-    /** What this instance may spend of one key. */
+    /** The share of this instance in the budget of one key. */
     struct Part {
-        double perSecond = 0;
+        double perSecond = 0; // units
         Milliseconds window{ 1000 };
     };
 
+    /** True if a unit is left in the present window. */
     bool has(const std::string& key, const Part& part, Random& random, Milliseconds now);
-    /** True when one may be spent; it then is. */
+    /** Takes a unit; false if none is left in the present window. */
     bool take(const std::string& key, const Part& part, Random& random, Milliseconds now);
     void forget(const std::string& key) { this->allowances.erase(key); }
 
 private:
     struct Allowance {
-        unsigned left = 0;
-        Milliseconds until = LongAgo; // end of its window
+        unsigned left = 0; // units
+        Milliseconds until = LongAgo; // end of the window
     };
 
     Allowance& current(const std::string& key, const Part& part, Random& random, Milliseconds now);
--- a/Source/Base/Findings.h
+++ b/Source/Base/Findings.h
@@ -6,7 +6,7 @@
 
 namespace burlreach {
 
-/** Something wrong in what a user wrote. */
+/** An error in a user's input. */
 struct Finding {
     std::string place; // such as /services/2/limits
     std::string message; // what is wrong and what to write instead
@@ -14,14 +14,14 @@
     bool operator==(const Finding&) const = default;
 };
 
-/** Collects findings, so that all are reported together. */
+/** A list of findings, so that all errors of an input are reported together. */
 class Findings {
 public:
     void add(std::string_view place, std::string_view message);
     bool empty() const { return this->list.empty(); }
     const std::vector<Finding>& all() const { return this->list; }
 
-    /** One line a finding: "PLACE: MESSAGE". */
+    /** One line for each finding: "PLACE: MESSAGE". */
     std::string text() const;
 
 private:
--- a/Source/Base/Hash.h
+++ b/Source/Base/Hash.h
@@ -5,10 +5,10 @@
 
 namespace burlreach {
 
-/** The same on every instance and in every version. */
+/** A 64-bit hash that is the same on every instance and in every version. */
 std::uint64_t hashOf(std::string_view text, std::uint64_t seed = 0);
 
-/** A shorter one, for names in messages. */
+/** A 32-bit hash, also stable, which stands for a name in messages. */
 std::uint32_t shortHashOf(std::string_view text);
 
 }
--- a/Source/Base/Milliseconds.h
+++ b/Source/Base/Milliseconds.h
@@ -6,10 +6,9 @@
 namespace burlreach {
 
 /**
- * A point in time or a span, in milliseconds with fractions.
+ * A point in time or a duration, in milliseconds with fractions.
  *
- * Points count from a start of the clock's own choice, so only their
- * differences have a meaning.
+ * The epoch of points in time is arbitrary, so only their differences are meaningful.
  */
 struct Milliseconds {
     double count = 0;
@@ -21,10 +20,10 @@
     double operator/(Milliseconds other) const { return this->count / other.count; }
 };
 
-/** Later than every time that a clock gives. */
+/** Later than any time of a clock. */
 inline constexpr Milliseconds Never{ std::numeric_limits<double>::infinity() };
 
-/** Earlier than every time that a clock gives. */
+/** Earlier than any time of a clock. */
 inline constexpr Milliseconds LongAgo{ -std::numeric_limits<double>::infinity() };
 
 inline constexpr Milliseconds Second{ 1000 };
--- a/Source/Base/NetworkAddress.h
+++ b/Source/Base/NetworkAddress.h
@@ -7,26 +7,26 @@
 
 namespace burlreach {
 
-/** An IP number and a port. */
+/** An IP address and a port. */
 struct NetworkAddress {
     std::string host;
     std::uint16_t port = 0;
 
     auto operator<=>(const NetworkAddress&) const = default;
 
-    /** "HOST:PORT", with brackets around an IPv6 number. */
+    /** "HOST:PORT", with brackets around an IPv6 address. */
     std::string text() const;
-    /** The bytes of the IP number and of the port, most significant first; empty without an IP number. */
+    /** The bytes of the IP address and of the port in network byte order; empty if the host is not an IP address. */
     std::string packed() const;
 };
 
-/** True for an IPv4 or IPv6 number; names are not resolved. */
+/** True for an IPv4 or IPv6 address; names are not resolved. */
 bool isIpNumber(std::string_view text);
 
-/** Reads "HOST:PORT"; nothing when it is not one with an IP number. */
+/** Parses "HOST:PORT"; nullopt for any other text, or if the host is not an IP address. */
 std::optional<NetworkAddress> parseNetworkAddress(std::string_view text);
 
-/** Reads what packed() gave; nothing when it is something else. */
+/** Parses the format of NetworkAddress::packed(); nullopt for any other bytes. */
 std::optional<NetworkAddress> unpackNetworkAddress(std::string_view bytes);
 
 }
--- a/Source/Base/Random.h
+++ b/Source/Base/Random.h
@@ -6,20 +6,21 @@
 
 namespace burlreach {
 
-/** Random numbers from a seed that is passed in, so that a run can be repeated. */
+/** A random number generator with an explicit seed, so that a run can be reproduced. */
 class Random {
 public:
     explicit Random(std::uint64_t seed);
 
-    /** A whole number from 0 to limit - 1; 0 when the limit is 0. */
+    /** An integer from 0 to limit - 1; 0 if the limit is 0. */
     std::size_t below(std::size_t limit);
 
-    /** From 0 up to, but not including, 1. */
+    /** A number from 0 up to, but not including, 1. */
     double unit();
 
-    /** Exponentially distributed with this mean. */
+    /** An exponentially distributed number with this mean. */
     double exponential(double mean);
 
+    /** 64 random bits. */
     std::uint64_t number();
 
 private:
--- a/Source/Base/SpanText.h
+++ b/Source/Base/SpanText.h
@@ -7,7 +7,7 @@
 
 namespace burlreach {
 
-/** Reads "1500ms" or "2.5s"; nothing when the text is no span. */
+/** Parses a duration such as "1500ms" or "2.5s"; nullopt for any other text. */
 std::optional<Milliseconds> parseSpan(std::string_view text);
 
 }
--- a/Source/Base/SteadyClock.h
+++ b/Source/Base/SteadyClock.h
@@ -4,7 +4,7 @@
 
 namespace burlreach {
 
-/** The machine's clock that also counts while the process is suspended. */
+/** The monotonic clock of the system that also counts while it is suspended (CLOCK_BOOTTIME). */
 class SteadyClock final : public Clock {
 public:
     Milliseconds now() const override;
--- a/Source/Exchange/Backoff.h
+++ b/Source/Exchange/Backoff.h
@@ -5,7 +5,7 @@
 
 namespace burlreach {
 
-/** Waits that double up to a bound, with jitter. */
+/** Exponential backoff with jitter: the bound of the wait doubles up to a maximum. */
 class Backoff {
 public:
     struct Options {
@@ -15,7 +15,7 @@
 
     explicit Backoff(Options options);
 
-    /** The next wait: between half and all of the present bound. */
+    /** The next wait: random between half the present bound and the bound. */
     Milliseconds next(Random& random);
     void reset();
 
--- a/Source/Timers/Timer.h
+++ b/Source/Timers/Timer.h
@@ -8,18 +8,17 @@
 namespace burlreach {
 
 /**
- * Lets asio wait no longer than this at a time and then look at the clock again.
+ * Makes asio wait for a short time only before it checks the clock again.
  *
- * The system's timers stand still while the machine is suspended. So after a
- * suspension of seconds a time-out of two seconds came up to two seconds late,
- * and nothing could be planned before it (test Timer); with this it comes 250 ms
- * late at most. That is four wake-ups a second at most in each of two threads.
+ * The timers of the operating system stop while the system is suspended. A timeout of two seconds would fire up to two
+ * seconds late after a suspension; with this it fires at most 250 ms late. The cost is at most four wake-ups a second
+ * in each of two threads.
  */
 template <typename Clock>
 struct ShortWaits {
     static constexpr std::chrono::milliseconds Longest{ 250 };
 
-    // The names are asio's.
+    // asio prescribes the names.
     // NOLINTNEXTLINE(readability-identifier-naming)
     static typename Clock::duration to_wait_duration(const typename Clock::duration& span)
     {
@@ -32,7 +31,7 @@
     }
 };
 
-/** The timer for everything that is due after some time, whether or not the machine is suspended meanwhile. */
+/** A timer that also counts the time during which the system is suspended. */
 using Timer = asio::basic_waitable_timer<TimerClock, ShortWaits<TimerClock>>;
 
 }
--- a/Source/Timers/TimerClock.h
+++ b/Source/Timers/TimerClock.h
@@ -5,7 +5,7 @@
 
 namespace burlreach {
 
-/** SteadyClock, which also counts while the machine is suspended, in the shape that asio's timers want. */
+/** Adapts SteadyClock, which also counts while the system is suspended, to the clock interface of asio's timers. */
 class TimerClock {
 public:
     using duration = std::chrono::microseconds;
--- a/Tests/Timers/TimerTest.cpp
+++ b/Tests/Timers/TimerTest.cpp
@@ -1,5 +1,5 @@
-// A machine that is suspended goes on with its timers where they stood, while
-// the clock by which deadlines, ages and leases are counted has gone on.
+// Guards against late timeouts after the system was suspended: its timers stop during the suspension, while the clock
+// for deadlines, ages and leases goes on.
 
 #include "Timers/Timer.h"
 #include "Base/SteadyClock.h"
@@ -20,7 +20,7 @@
 
 using RealTime = std::chrono::steady_clock;
 
-/** A clock that can be put forward, as a suspension does. */
+/** A clock that can be set forward, as a suspension does. */
 class SuspendedClock {
 public:
     using duration = std::chrono::microseconds;
@@ -41,14 +41,14 @@
 constexpr std::chrono::milliseconds Due{ 2000 };
 constexpr std::chrono::milliseconds Before{ 50 };
 constexpr int SuspendedMilliseconds = 5000;
-/** Late by one wait at most, and by what a busy machine takes. */
+/** How late the timer may fire: one short wait, plus the delay on a busy system. */
 constexpr std::chrono::milliseconds LatestAfter{ 1000 };
 
 }
 
 TEST_GROUP(Timer){};
 
-TEST(Timer, IsDueSoonAfterASuspension)
+TEST(Timer, FiresSoonAfterASuspension)
 {
     SuspendedClock::suspended = 0;
     asio::io_context context;
@@ -65,7 +65,7 @@
     CHECK(RealTime::now() - begun < Before + LatestAfter);
 }
 
-TEST(Timer, IsNotDueEarly)
+TEST(Timer, DoesNotFireEarly)
 {
     SuspendedClock::suspended = 0;
     asio::io_context context;
@@ -78,7 +78,7 @@
     CHECK(RealTime::now() - begun >= span);
 }
 
-TEST(Timer, CountsAsTheClockOfDecisions)
+TEST(Timer, AgreesWithSteadyClock)
 {
     const double before = SteadyClock().now().count;
     const double now = static_cast<double>(TimerClock::now().time_since_epoch().count()) / 1000;
