--- a/Source/Base/DealtBudget.cpp
+++ b/Source/Base/DealtBudget.cpp
@@ -4,7 +4,8 @@
 
 namespace burlreach {
 
-DealtBudget::Allowance& DealtBudget::current(const std::string& key, const Part& part, Random& random, Milliseconds now)
+DealtBudget::Allowance& DealtBudget::currentAllowance(
+    const std::string& key, const Part& part, Random& random, Milliseconds now)
 {
     Allowance& allowance = this->allowances[key];
     if (now < allowance.until)
@@ -18,12 +19,12 @@
 
 bool DealtBudget::has(const std::string& key, const Part& part, Random& random, Milliseconds now)
 {
-    return this->current(key, part, random, now).left > 0;
+    return this->currentAllowance(key, part, random, now).left > 0;
 }
 
 bool DealtBudget::take(const std::string& key, const Part& part, Random& random, Milliseconds now)
 {
-    Allowance& allowance = this->current(key, part, random, now);
+    Allowance& allowance = this->currentAllowance(key, part, random, now);
     if (!allowance.left)
         return false;
     --allowance.left;
--- a/Source/Base/DealtBudget.h
+++ b/Source/Base/DealtBudget.h
@@ -36,7 +36,7 @@
         Milliseconds until = LongAgo; // end of the window
     };
 
-    Allowance& current(const std::string& key, const Part& part, Random& random, Milliseconds now);
+    Allowance& currentAllowance(const std::string& key, const Part& part, Random& random, Milliseconds now);
 
     std::unordered_map<std::string, Allowance> allowances;
 };
--- a/Source/Base/NetworkAddress.cpp
+++ b/Source/Base/NetworkAddress.cpp
@@ -64,7 +64,7 @@
     return NetworkAddress{ .host = text.data(), .port = port };
 }
 
-bool isIpNumber(std::string_view text)
+bool isIpAddress(std::string_view text)
 {
     return parses(AF_INET, text) || parses(AF_INET6, text);
 }
@@ -81,7 +81,7 @@
     std::uint16_t port = 0;
     const auto parsed = std::from_chars(portText.data(), portText.data() + portText.size(), port);
     const bool isWhole = parsed.ec == std::errc() && parsed.ptr == portText.data() + portText.size();
-    if (!isWhole || !port || !isIpNumber(host))
+    if (!isWhole || !port || !isIpAddress(host))
         return std::nullopt;
     return NetworkAddress{ .host = std::string(host), .port = port };
 }
--- a/Source/Base/NetworkAddress.h
+++ b/Source/Base/NetworkAddress.h
@@ -21,7 +21,7 @@
 };
 
 /** True for an IPv4 or IPv6 address; names are not resolved. */
-bool isIpNumber(std::string_view text);
+bool isIpAddress(std::string_view text);
 
 /** Parses "HOST:PORT"; nullopt for any other text, or if the host is not an IP address. */
 std::optional<NetworkAddress> parseNetworkAddress(std::string_view text);
--- a/Source/Configuration/ChangeApplier.cpp
+++ b/Source/Configuration/ChangeApplier.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /** More than a day of changes at the fleet size that docs/CAPACITY.md plans for. */
-constexpr int RememberedChanges = 400;
+constexpr int MaximumRecentChanges = 400;
 constexpr std::size_t MaximumChangeIdLength = 100;
 
 template <typename List>
@@ -54,8 +54,8 @@
     applied->set_change_id(request.change_id());
     applied->set_revision(changed.revision());
     applied->set_accepted_by(std::string(acceptedBy));
-    if (changed.recent_changes_size() > RememberedChanges)
-        changed.mutable_recent_changes()->DeleteSubrange(0, changed.recent_changes_size() - RememberedChanges);
+    if (changed.recent_changes_size() > MaximumRecentChanges)
+        changed.mutable_recent_changes()->DeleteSubrange(0, changed.recent_changes_size() - MaximumRecentChanges);
     if (!this->result.findings.empty())
         return this->result;
     ConfigurationChecker checker;
--- a/Source/Configuration/ChangeCoordinator.cpp
+++ b/Source/Configuration/ChangeCoordinator.cpp
@@ -56,7 +56,7 @@
     Commit change;
     change.call = call;
     change.request = request;
-    change.giveUp = now + this->options.commitTimeout;
+    change.deadline = now + this->options.commitTimeout;
     this->waiting.push_back(std::move(change));
 }
 
@@ -70,7 +70,7 @@
     if (!this->commit)
         return std::nullopt;
     if (this->commit->phase == Phase::Pausing && now >= this->commit->nextStep) {
-        if (now >= this->commit->giveUp) {
+        if (now >= this->commit->deadline) {
             this->giveUp();
             return this->next(now);
         }
@@ -86,7 +86,7 @@
     return this->commit->phase == Phase::Pausing ? this->commit->nextStep : Never;
 }
 
-void ChangeCoordinator::ask(StoreRequest request, Phase phase)
+void ChangeCoordinator::prepareCall(StoreRequest request, Phase phase)
 {
     request.number = this->numbers->next();
     request.key = this->options.key;
@@ -100,7 +100,7 @@
 {
     StoreRequest request;
     request.operation = StoreOperation::ReadRange;
-    this->ask(std::move(request), Phase::Reading);
+    this->prepareCall(std::move(request), Phase::Reading);
 }
 
 bool ChangeCoordinator::answered(const StoreAnswer& answer, Milliseconds now)
@@ -122,14 +122,14 @@
     const auto item = std::find_if(answer.items.begin(), answer.items.end(),
         [this](const StoreItem& candidate) { return candidate.key == this->options.key; });
     if (item == answer.items.end())
-        return this->decide({}, 0);
+        return this->evaluate({}, 0);
     if (const auto stored = decodeConfiguration(item->value))
-        return this->decide(*stored, item->revision);
+        return this->evaluate(*stored, item->revision);
     this->finish(refusal(v1::CHANGE_REFUSED, 0, "/",
         "the stored configuration cannot be read; restore its key in the store from a backup"));
 }
 
-void ChangeCoordinator::decide(const v1::Configuration& base, StoreRevision storedAt)
+void ChangeCoordinator::evaluate(const v1::Configuration& base, StoreRevision storedAt)
 {
     const v1::ChangeRequest& request = this->commit->request;
     if (const v1::AppliedChange* applied = findAppliedChange(base, request.change_id()))
@@ -153,7 +153,7 @@
     request.expected = expected;
     this->commit->writtenRevision = configuration.revision();
     this->commit->writtenValue = request.value;
-    this->ask(std::move(request), Phase::Writing);
+    this->prepareCall(std::move(request), Phase::Writing);
 }
 
 void ChangeCoordinator::writeAnswered(const StoreAnswer& answer, Milliseconds now)
@@ -166,7 +166,7 @@
         return this->accept(this->commit->writtenRevision);
     }
     if (answer.status == StoreStatus::Unknown)
-        this->commit->writeUncertain = true;
+        this->commit->isWriteUncertain = true;
     this->pause(now);
 }
 
@@ -193,7 +193,7 @@
 
 void ChangeCoordinator::giveUp()
 {
-    if (this->commit->writeUncertain)
+    if (this->commit->isWriteUncertain)
         return this->finish(refusal(v1::CHANGE_UNKNOWN, 0, "/",
             "the store did not answer; the change may still take effect; send it again with the same change_id"));
     this->finish(
--- a/Source/Configuration/ChangeCoordinator.h
+++ b/Source/Configuration/ChangeCoordinator.h
@@ -57,20 +57,20 @@
         v1::ChangeRequest request;
         Phase phase = Phase::Pausing;
         Milliseconds nextStep = LongAgo; // end of the pause
-        Milliseconds giveUp; // deadline of the change
+        Milliseconds deadline; // deadline of the change
         StoreCallNumber storeCall = 0;
         std::optional<StoreRequest> toSend;
         std::uint32_t writtenRevision = 0;
         std::string writtenValue;
-        bool writeUncertain = false; // a write without an answer may still take effect
+        bool isWriteUncertain = false; // a write without an answer may still take effect
     };
 
     void read();
     void readAnswered(const StoreAnswer& answer, Milliseconds now);
-    void decide(const v1::Configuration& base, StoreRevision storedAt);
+    void evaluate(const v1::Configuration& base, StoreRevision storedAt);
     void write(const v1::Configuration& configuration, StoreRevision expected);
     void writeAnswered(const StoreAnswer& answer, Milliseconds now);
-    void ask(StoreRequest request, Phase phase);
+    void prepareCall(StoreRequest request, Phase phase);
     void pause(Milliseconds now);
     void accept(std::uint32_t revision);
     void finish(const v1::ChangeAnswer& answer);
--- a/Source/Configuration/ConfigurationChecker.cpp
+++ b/Source/Configuration/ConfigurationChecker.cpp
@@ -156,7 +156,7 @@
 void ConfigurationChecker::checkBackendServer(const v1::BackendServer& server, const std::string& place)
 {
     this->checkName(server.name(), place + "/name");
-    if (!isIpNumber(server.address()))
+    if (!isIpAddress(server.address()))
         this->findings.add(
             place + "/address", "\"" + server.address() + "\" is not an IP address; write one such as \"10.0.0.7\"");
     if (!server.port() || server.port() > MaximumPort)
--- a/Source/Configuration/OwnFactTranslator.cpp
+++ b/Source/Configuration/OwnFactTranslator.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 constexpr const char* OwnProbePath = "/burlreach/load";
-constexpr double UsualProbeBudget = 180; // milliseconds of probe time per second: 30 probes of 6 ms
+constexpr double DefaultProbeBudget = 180; // milliseconds of probe time per second: 30 probes of 6 ms
 constexpr double Hundred = 100;
 constexpr std::uint32_t RankFirst = 0;
 constexpr std::uint32_t RankCanWait = 1;
-constexpr Milliseconds UsualDeadline{ 10000 };
+constexpr Milliseconds DefaultDeadline{ 10000 };
 
 std::uint32_t rankOf(v1::Priority priority)
 {
@@ -23,7 +23,7 @@
 Milliseconds deadlineOf(const v1::Service& service)
 {
     const auto given = service.limits().deadline_milliseconds();
-    return given ? Milliseconds{ static_cast<double>(given) } : UsualDeadline;
+    return given ? Milliseconds{ static_cast<double>(given) } : DefaultDeadline;
 }
 
 /** The service's rules and the defaults: GET, HEAD and OPTIONS may repeat, all other methods run once. */
@@ -80,7 +80,7 @@
     if (limits.retry_percent())
         description.retryShare = limits.retry_percent() / Hundred;
     if (limits.probe_budget_milliseconds())
-        description.probeShare = std::min(1.0, limits.probe_budget_milliseconds() / UsualProbeBudget);
+        description.probeShare = std::min(1.0, limits.probe_budget_milliseconds() / DefaultProbeBudget);
     description.coldRequestsPerSecond = limits.cold_requests_per_second();
     description.coldStart = { static_cast<double>(limits.cold_start_milliseconds()) };
     return description;
--- a/Source/Membership/FleetSize.h
+++ b/Source/Membership/FleetSize.h
@@ -21,10 +21,10 @@
     std::optional<std::size_t> atLeast(Milliseconds now) const;
 
 private:
-    Milliseconds began = Never; // time of the first count
-    Milliseconds spanBegan = LongAgo; // start of the present period
+    Milliseconds firstCountAt = Never; // time of the first count
+    Milliseconds periodStart = LongAgo; // start of the present period
     std::size_t largest = 0; // count in the present period
-    std::size_t largestBefore = 0; // count in the previous period
+    std::size_t largestInPreviousPeriod = 0; // count in the previous period
 };
 
 }
--- a/Source/Membership/MemberTable.cpp
+++ b/Source/Membership/MemberTable.cpp
@@ -51,7 +51,7 @@
 void MemberTable::tick(Milliseconds now)
 {
     std::erase_if(
-        this->list, [&](const KnownMember& known) { return now - known.heardAt > this->options.forgottenAfter; });
+        this->list, [&](const KnownMember& known) { return now - known.heardAt > this->options.expireAfter; });
 }
 
 }
--- a/Source/Membership/MemberTable.h
+++ b/Source/Membership/MemberTable.h
@@ -33,7 +33,7 @@
 class MemberTable {
 public:
     struct Options {
-        Milliseconds forgottenAfter{ 4000 };
+        Milliseconds expireAfter{ 4000 };
     };
 
     explicit MemberTable(Options options);
--- a/Source/Membership/NewsTree.cpp
+++ b/Source/Membership/NewsTree.cpp
@@ -34,7 +34,7 @@
     std::map<std::string_view, std::vector<Receiver>> dataCentres;
     for (const KnownMember& known : members) {
         const peers::Member& member = known.member;
-        dataCentres[member.data_centre()].push_back({ .isSilent = now - known.heardAt > options.silentAfter,
+        dataCentres[member.data_centre()].push_back({ .isSilent = now - known.heardAt > options.inactiveAfter,
             .capacity = member.capacity(),
             .order = hashOf(options.origin + ' ' + member.incarnation().name()),
             .address = addressOf(member) });
@@ -46,7 +46,7 @@
         addresses.reserve(receivers.size());
         for (Receiver& receiver : receivers)
             addresses.push_back(std::move(receiver.address));
-        const std::size_t most = name == options.dataCentre ? options.mostBranches : options.headsElsewhere;
+        const std::size_t most = name == options.dataCentre ? options.mostBranches : options.branchesElsewhere;
         for (NewsBranch& branch : branchesOf(addresses, most))
             branches.push_back(std::move(branch));
     }
--- a/Source/Membership/NewsTree.h
+++ b/Source/Membership/NewsTree.h
@@ -21,8 +21,8 @@
     std::string origin; // name of the instance that creates the updates
     std::string dataCentre; // of that instance
     std::size_t mostBranches = 8; // direct receivers in the same data centre
-    std::size_t headsElsewhere = 2; // direct receivers in each other data centre
-    Milliseconds silentAfter{ 1900 }; // without a message for this long, an instance is not chosen to forward updates
+    std::size_t branchesElsewhere = 2; // direct receivers in each other data centre
+    Milliseconds inactiveAfter{ 1900 }; // without a message for this long, an instance is not chosen to forward updates
 };
 
 /**
--- a/Source/Membership/PullPlan.cpp
+++ b/Source/Membership/PullPlan.cpp
@@ -11,40 +11,40 @@
 
 void PullPlan::behind(const peers::Member& origin, std::uint64_t revision, bool heldChanges, Milliseconds now)
 {
-    if (revision >= this->wanted)
-        this->newest = origin;
-    this->wanted = std::max(this->wanted, revision);
-    const Milliseconds due = heldChanges ? now : now + this->options.patience;
-    this->askAt = std::min(this->askAt, due);
+    if (revision >= this->wantedRevision)
+        this->newestOrigin = origin;
+    this->wantedRevision = std::max(this->wantedRevision, revision);
+    const Milliseconds due = heldChanges ? now : now + this->options.updateDelay;
+    this->nextPull = std::min(this->nextPull, due);
 }
 
 void PullPlan::promised(Milliseconds now)
 {
     // A further announcement does not extend the wait that the first one began.
-    if (now >= this->promisedUntil)
-        this->promisedUntil = now + this->options.pushPatience;
+    if (now >= this->pushExpectedUntil)
+        this->pushExpectedUntil = now + this->options.pushTimeout;
 }
 
 void PullPlan::reached(std::uint64_t revision)
 {
-    if (revision < this->wanted)
+    if (revision < this->wantedRevision)
         return;
-    this->wanted = 0;
-    this->askAt = Never;
-    this->promisedUntil = LongAgo;
+    this->wantedRevision = 0;
+    this->nextPull = Never;
+    this->pushExpectedUntil = LongAgo;
 }
 
 std::optional<peers::Member> PullPlan::next(Milliseconds now)
 {
-    if (!this->wanted || now < this->nextDue())
+    if (!this->wantedRevision || now < this->nextDue())
         return std::nullopt;
-    this->pendingUntil = now + this->options.timeout;
-    return this->newest;
+    this->pullTimeoutAt = now + this->options.timeout;
+    return this->newestOrigin;
 }
 
 Milliseconds PullPlan::nextDue() const
 {
-    return this->wanted ? std::max({ this->askAt, this->pendingUntil, this->promisedUntil }) : Never;
+    return this->wantedRevision ? std::max({ this->nextPull, this->pullTimeoutAt, this->pushExpectedUntil }) : Never;
 }
 
 }
--- a/Source/Membership/PullPlan.h
+++ b/Source/Membership/PullPlan.h
@@ -19,11 +19,11 @@
 class PullPlan {
 public:
     struct Options {
-        Milliseconds patience{ 200 }; // delay of the pull after an update without changes
+        Milliseconds updateDelay{ 200 }; // delay of the pull after an update without changes
         Milliseconds timeout{ 1000 }; // for the answer to a pull, before the next one
         // For an announced push: 150 KB over three hops of 10 Mbit/s take about half of it, and a pull after it is
         // still answered before this instance would have to ask the store itself.
-        Milliseconds pushPatience{ 900 };
+        Milliseconds pushTimeout{ 900 };
     };
 
     explicit PullPlan(Options givenOptions);
@@ -33,22 +33,22 @@
     /** An update announced a push with the missing changes. */
     void promised(Milliseconds now);
     /** The announced push was received, whatever its content. */
-    void delivered() { this->promisedUntil = LongAgo; }
+    void delivered() { this->pushExpectedUntil = LongAgo; }
     /** This instance now has all changes up to this revision. */
     void reached(std::uint64_t revision);
     /** An answer to a pull was received, whatever its content. */
-    void answered() { this->pendingUntil = LongAgo; }
+    void answered() { this->pullTimeoutAt = LongAgo; }
     /** The instance to pull from now, if a pull is due; the pull then counts as under way. */
     std::optional<peers::Member> next(Milliseconds now);
     Milliseconds nextDue() const;
 
 private:
     Options options;
-    peers::Member newest; // the origin of the update that named the latest revision
-    std::uint64_t wanted = 0; // the latest revision named; 0: nothing is missing
-    Milliseconds askAt = Never; // when the next pull is due
-    Milliseconds promisedUntil = LongAgo; // how long to wait for an announced push
-    Milliseconds pendingUntil = LongAgo; // timeout of the pull under way
+    peers::Member newestOrigin; // the origin of the update that named the latest revision
+    std::uint64_t wantedRevision = 0; // the latest revision named; 0: nothing is missing
+    Milliseconds nextPull = Never; // when the next pull is due
+    Milliseconds pushExpectedUntil = LongAgo; // how long to wait for an announced push
+    Milliseconds pullTimeoutAt = LongAgo; // timeout of the pull under way
 };
 
 }
--- a/Source/Membership/WatchDuty.cpp
+++ b/Source/Membership/WatchDuty.cpp
@@ -25,7 +25,7 @@
 constexpr double FirstRound = 0.5;
 
 /** Maps a hash to a number from 0 up to, but not including, 1. */
-double placeOf(std::uint64_t hash)
+double unitIntervalOf(std::uint64_t hash)
 {
     constexpr int bits = 64;
     return std::ldexp(static_cast<double>(hash), -bits);
@@ -41,7 +41,7 @@
 
 WatchDuty::Rank WatchDuty::rankOf(std::string_view name, std::uint32_t capacity)
 {
-    return { .weakness = ~capacity, .hash = hashOf(name, RankSeed) };
+    return { .invertedCapacity = ~capacity, .hash = hashOf(name, RankSeed) };
 }
 
 WatchDuty::Watcher* WatchDuty::findOrAdd(const peers::Member& member)
@@ -70,8 +70,8 @@
     if (!watcher)
         return;
     watcher->confirmedAt = std::max(watcher->confirmedAt, confirmedAt);
-    watcher->knownAt = now;
-    watcher->toldAt = now;
+    watcher->lastNamedAt = now;
+    watcher->updatedAt = now;
 }
 
 bool WatchDuty::knows(const peers::Incarnation& watcher) const
@@ -85,22 +85,22 @@
 void WatchDuty::toldOfWatcher(const peers::Member& member, Milliseconds now)
 {
     if (Watcher* watcher = this->findOrAdd(member))
-        watcher->knownAt = now;
+        watcher->lastNamedAt = now;
 }
 
 bool WatchDuty::isActive(const Watcher& watcher, Milliseconds now) const
 {
-    return now - watcher.confirmedAt <= this->options.remembered;
+    return now - watcher.confirmedAt <= this->options.expireAfter;
 }
 
-bool WatchDuty::isAsking(const Watcher& watcher, Milliseconds now) const
+bool WatchDuty::isCalling(const Watcher& watcher, Milliseconds now) const
 {
     // The same bound as for the age of knowledge, so that a watcher that ended is noticed no later than the lack of its
     // updates.
-    return now < watcher.toldAt + this->options.staleAfter;
+    return now < watcher.updatedAt + this->options.staleAfter;
 }
 
-Milliseconds WatchDuty::othersAskInVainUntil(Milliseconds now) const
+Milliseconds WatchDuty::othersUnansweredUntil(Milliseconds now) const
 {
     Milliseconds until = LongAgo;
     for (const Watcher& watcher : this->known) {
@@ -108,26 +108,26 @@
         // instance would be fresh.
         if (now < watcher.confirmedAt + this->options.staleAfter)
             return LongAgo;
-        until = std::max(until, watcher.toldAt + this->options.staleAfter);
+        until = std::max(until, watcher.updatedAt + this->options.staleAfter);
     }
     return until;
 }
 
-std::size_t WatchDuty::peersWithDuty(Milliseconds now) const
+std::size_t WatchDuty::countComparableWatchers(Milliseconds now) const
 {
     return static_cast<std::size_t>(std::count_if(this->known.begin(), this->known.end(), [&](const Watcher& watcher) {
-        const bool hasDuty = this->isActive(watcher, now) || this->isAsking(watcher, now);
-        return watcher.rank.weakness <= this->ownRank.weakness && hasDuty;
+        const bool hasDuty = this->isActive(watcher, now) || this->isCalling(watcher, now);
+        return watcher.rank.invertedCapacity <= this->ownRank.invertedCapacity && hasDuty;
     }));
 }
 
-std::size_t WatchDuty::askingOthersBelow(Milliseconds now) const
+std::size_t WatchDuty::countCallingBelow(Milliseconds now) const
 {
     return static_cast<std::size_t>(std::count_if(this->known.begin(), this->known.end(),
-        [&](const Watcher& watcher) { return watcher.rank < this->ownRank && this->isAsking(watcher, now); }));
+        [&](const Watcher& watcher) { return watcher.rank < this->ownRank && this->isCalling(watcher, now); }));
 }
 
-std::size_t WatchDuty::activeOthersBelow(Milliseconds now) const
+std::size_t WatchDuty::countActiveBelow(Milliseconds now) const
 {
     return static_cast<std::size_t>(std::count_if(this->known.begin(), this->known.end(),
         [&](const Watcher& watcher) { return watcher.rank < this->ownRank && this->isActive(watcher, now); }));
@@ -135,12 +135,12 @@
 
 Milliseconds WatchDuty::volunteerDelay() const
 {
-    return this->options.volunteerSpread * placeOf(this->ownRank.hash);
+    return this->options.volunteerSpread * unitIntervalOf(this->ownRank.hash);
 }
 
 Milliseconds WatchDuty::stalenessBound() const
 {
-    return this->options.staleAfter + this->options.staleSpread * placeOf(this->ownRank.hash);
+    return this->options.staleAfter + this->options.staleSpread * unitIntervalOf(this->ownRank.hash);
 }
 
 bool WatchDuty::isStale(Milliseconds confirmedAt, Milliseconds now) const
@@ -149,46 +149,46 @@
     return now >= confirmedAt + this->stalenessBound();
 }
 
-bool WatchDuty::shouldAskItself(bool isWatching, std::size_t instances, Milliseconds now)
+bool WatchDuty::shouldCallStore(bool isWatching, std::size_t instances, Milliseconds now)
 {
-    const Milliseconds until = this->othersAskInVainUntil(now);
-    const bool isOneOfFew = isWatching && this->askingOthersBelow(now) < this->options.wanted;
+    const Milliseconds until = this->othersUnansweredUntil(now);
+    const bool isOneOfFew = isWatching && this->countCallingBelow(now) < this->options.wantedWatchers;
     if (now >= until || isOneOfFew) {
-        this->turnAt = Never;
+        this->nextTurn = Never;
         return true;
     }
     const Milliseconds round
         = std::max(Second * (static_cast<double>(instances) / this->options.turnsPerSecond), this->options.staleAfter);
-    if (this->turnAt == Never)
-        this->turnAt = now + round * FirstRound * placeOf(hashOf(this->options.ownName, TurnSeed));
-    if (now >= this->turnAt) {
-        this->turnAt = now + round;
+    if (this->nextTurn == Never)
+        this->nextTurn = now + round * FirstRound * unitIntervalOf(hashOf(this->options.ownName, TurnSeed));
+    if (now >= this->nextTurn) {
+        this->nextTurn = now + round;
         // A watch without an answer takes as long as this.
-        this->turnUntil = now + this->stalenessBound();
+        this->turnEnd = now + this->stalenessBound();
     }
-    this->leavesItUntil = std::min(this->turnAt, until);
-    return now < this->turnUntil;
+    this->deferredUntil = std::min(this->nextTurn, until);
+    return now < this->turnEnd;
 }
 
 bool WatchDuty::shouldWatch(bool isWatching, Milliseconds confirmedAt, std::size_t instances, Milliseconds now)
 {
     std::erase_if(
-        this->known, [&](const Watcher& watcher) { return now - watcher.knownAt > this->options.remembered; });
-    const bool isVacant = this->peersWithDuty(now) < this->options.wanted;
+        this->known, [&](const Watcher& watcher) { return now - watcher.lastNamedAt > this->options.expireAfter; });
+    const bool isVacant = this->countComparableWatchers(now) < this->options.wantedWatchers;
     if (!isVacant)
         this->vacantSince = Never;
     else if (this->vacantSince == Never)
         this->vacantSince = now;
     const bool volunteers = isVacant && now >= this->vacantSince + this->volunteerDelay();
     if (this->isStale(confirmedAt, now))
-        return this->shouldAskItself(isWatching, instances, now) || volunteers;
-    this->turnAt = Never;
-    return isWatching ? this->activeOthersBelow(now) < this->options.wanted : volunteers;
+        return this->shouldCallStore(isWatching, instances, now) || volunteers;
+    this->nextTurn = Never;
+    return isWatching ? this->countActiveBelow(now) < this->options.wantedWatchers : volunteers;
 }
 
 Milliseconds WatchDuty::nextChange(Milliseconds confirmedAt) const
 {
-    const Milliseconds staleAt = std::max(confirmedAt + this->stalenessBound(), this->leavesItUntil);
+    const Milliseconds staleAt = std::max(confirmedAt + this->stalenessBound(), this->deferredUntil);
     if (this->vacantSince == Never)
         return staleAt;
     return std::min(staleAt, this->vacantSince + this->volunteerDelay());
@@ -196,14 +196,14 @@
 
 bool WatchDuty::leads(Milliseconds now) const
 {
-    return !this->activeOthersBelow(now);
+    return !this->countActiveBelow(now);
 }
 
 std::optional<peers::Member> WatchDuty::firstBefore(bool isWatching, Milliseconds now) const
 {
     const Watcher* first = nullptr;
     for (const Watcher& watcher : this->known) {
-        const bool isHeard = now - watcher.toldAt <= this->options.firstRemembered;
+        const bool isHeard = now - watcher.updatedAt <= this->options.firstExpireAfter;
         const bool goesBefore = !isWatching || watcher.rank < this->ownRank;
         if (isHeard && goesBefore && (!first || watcher.rank < first->rank))
             first = &watcher;
@@ -215,7 +215,7 @@
 {
     std::vector<const Watcher*> found;
     for (const Watcher& watcher : this->known) {
-        if (now - watcher.knownAt <= this->options.remembered)
+        if (now - watcher.lastNamedAt <= this->options.expireAfter)
             found.push_back(&watcher);
     }
     std::sort(found.begin(), found.end(), [&](const Watcher* left, const Watcher* right) {
@@ -228,7 +228,7 @@
 std::vector<peers::Member> WatchDuty::watchers(Milliseconds now) const
 {
     std::vector<peers::Member> found;
-    Rank last{ .weakness = ~0U, .hash = ~0ULL };
+    Rank last{ .invertedCapacity = ~0U, .hash = ~0ULL };
     std::size_t heard = 0;
     std::size_t unheard = 0;
     for (const Watcher* watcher : this->ranked(now)) {
@@ -236,7 +236,8 @@
         std::size_t& count = isHeard ? heard : unheard;
         // A watcher that only others named gets a hello if its rank is lower than that of the worst selected reporting
         // watcher, or if there are too few of those.
-        if (count >= this->options.wanted || (!isHeard && heard >= this->options.wanted && last < watcher->rank))
+        if (count >= this->options.wantedWatchers
+            || (!isHeard && heard >= this->options.wantedWatchers && last < watcher->rank))
             continue;
         ++count;
         last = isHeard ? watcher->rank : last;
@@ -249,8 +250,8 @@
 {
     std::vector<peers::Member> found;
     for (const Watcher* watcher : this->ranked(now)) {
-        const bool isHeard = this->isActive(*watcher, now) || this->isAsking(*watcher, now);
-        if (found.size() < this->options.wanted && isHeard)
+        const bool isHeard = this->isActive(*watcher, now) || this->isCalling(*watcher, now);
+        if (found.size() < this->options.wantedWatchers && isHeard)
             found.push_back(watcher->member);
     }
     return found;
--- a/Source/Membership/WatchDuty.h
+++ b/Source/Membership/WatchDuty.h
@@ -29,12 +29,12 @@
     struct Options {
         std::string ownName;
         std::uint32_t ownCapacity = 0; // in percent of a processor; instances with more capacity have a lower rank
-        std::size_t wanted = 3; // number of watchers
+        std::size_t wantedWatchers = 3; // number of watchers
         Milliseconds staleAfter{ 1450 }; // knowledge of the store older than this is stale
         Milliseconds staleSpread{ 250 }; // added to that, depending on the name, so that not all call the store at once
-        Milliseconds remembered{ 3000 }; // a watcher without a message for longer is gone
+        Milliseconds expireAfter{ 3000 }; // a watcher without a message for longer is gone
         /** The same for the watcher of the lowest rank, which the next one then replaces; updates come every 1.3 s. */
-        Milliseconds firstRemembered{ 2000 };
+        Milliseconds firstExpireAfter{ 2000 };
         Milliseconds volunteerSpread{ 3000 }; // the longest delay before an instance volunteers
         /**
          * The turns of all instances together while the store does not answer the watchers: within one or two seconds
@@ -58,7 +58,7 @@
      */
     bool shouldWatch(bool isWatching, Milliseconds confirmedAt, std::size_t instances, Milliseconds now);
     /** Records that a call to the store failed, which ends the turn of this instance. */
-    void askedInVain() { this->turnUntil = LongAgo; }
+    void askedInVain() { this->turnEnd = LongAgo; }
     /** When the result of shouldWatch() may change even if no message arrives. */
     Milliseconds nextChange(Milliseconds confirmedAt) const;
     bool isStale(Milliseconds confirmedAt, Milliseconds now) const;
@@ -72,21 +72,21 @@
      */
     std::optional<peers::Member> firstBefore(bool isWatching, Milliseconds now) const;
     /**
-     * The instances to which this one sends hellos to get their updates: up to `wanted` active watchers, the lowest
-     * ranks first, and up to `wanted` of the other known watchers. When there are enough active ones, only those others
-     * count that have a lower rank than the last of them.
+     * The instances to which this one sends hellos to get their updates: up to `wantedWatchers` active watchers, the
+     * lowest ranks first, and up to `wantedWatchers` of the other known watchers. When there are enough active ones,
+     * only those others count that have a lower rank than the last of them.
      */
     std::vector<peers::Member> watchers(Milliseconds now) const;
     /**
-     * Up to `wanted` watchers that recently sent an update themselves, those with answers of the store first. Only
-     * these are named to other instances; otherwise the name of a lost watcher would circulate for ever.
+     * Up to `wantedWatchers` watchers that recently sent an update themselves, those with answers of the store first.
+     * Only these are named to other instances; otherwise the name of a lost watcher would circulate for ever.
      */
     std::vector<peers::Member> heardWatchers(Milliseconds now) const;
 
 private:
     /** The order in which instances are chosen as watchers, lowest first: by capacity, then by the hash of the name. */
     struct Rank {
-        std::uint32_t weakness = 0; // bitwise complement of the capacity
+        std::uint32_t invertedCapacity = 0; // bitwise complement of the capacity
         std::uint64_t hash = 0;
 
         auto operator<=>(const Rank&) const = default;
@@ -96,8 +96,8 @@
         peers::Member member;
         Rank rank;
         Milliseconds confirmedAt = LongAgo; // when it last had an answer of the store
-        Milliseconds knownAt = LongAgo; // when it or another instance last named it
-        Milliseconds toldAt = LongAgo; // when its own last update was received
+        Milliseconds lastNamedAt = LongAgo; // when it or another instance last named it
+        Milliseconds updatedAt = LongAgo; // when its own last update was received
     };
 
     /** Null for this instance itself and for a life earlier than the known one. */
@@ -105,19 +105,19 @@
     /** The watcher gets answers of the store. */
     bool isActive(const Watcher& watcher, Milliseconds now) const;
     /** The watcher is alive and calls the store, whether or not it gets answers. */
-    bool isAsking(const Watcher& watcher, Milliseconds now) const;
+    bool isCalling(const Watcher& watcher, Milliseconds now) const;
     /**
      * Until when the watchers count as calling the store without success, by the updates received so far. LongAgo when
      * one of them has fresh answers, or there are none.
      */
-    Milliseconds othersAskInVainUntil(Milliseconds now) const;
+    Milliseconds othersUnansweredUntil(Milliseconds now) const;
     /** Whether this instance, whose knowledge is stale, should call the store itself. */
-    bool shouldAskItself(bool isWatching, std::size_t instances, Milliseconds now);
+    bool shouldCallStore(bool isWatching, std::size_t instances, Milliseconds now);
     static Rank rankOf(std::string_view name, std::uint32_t capacity);
     /** The number of other instances that watch or call the store and have at least the capacity of this one. */
-    std::size_t peersWithDuty(Milliseconds now) const;
-    std::size_t askingOthersBelow(Milliseconds now) const;
-    std::size_t activeOthersBelow(Milliseconds now) const;
+    std::size_t countComparableWatchers(Milliseconds now) const;
+    std::size_t countCallingBelow(Milliseconds now) const;
+    std::size_t countActiveBelow(Milliseconds now) const;
     std::vector<const Watcher*> ranked(Milliseconds now) const;
     Milliseconds volunteerDelay() const;
     Milliseconds stalenessBound() const;
@@ -126,9 +126,9 @@
     Rank ownRank;
     std::vector<Watcher> known;
     Milliseconds vacantSince = Never; // since when there are too few watchers
-    Milliseconds turnAt = Never; // the next turn of this instance to call the store although the watchers do
-    Milliseconds turnUntil = LongAgo; // end of its present turn
-    Milliseconds leavesItUntil
+    Milliseconds nextTurn = Never; // the next turn of this instance to call the store although the watchers do
+    Milliseconds turnEnd = LongAgo; // end of its present turn
+    Milliseconds deferredUntil
         = LongAgo; // until then it leaves the calls to the watchers, though its knowledge is stale
 };
 
--- a/Source/Quotas/CreditDesk.cpp
+++ b/Source/Quotas/CreditDesk.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr Milliseconds DealtWindow{ 1000 };
-constexpr Milliseconds ShortestComeBack{ 100 };
+constexpr Milliseconds LocalBudgetWindow{ 1000 };
+constexpr Milliseconds MinimumRetryDelay{ 100 };
 
 }
 
@@ -20,13 +20,13 @@
 CreditDecision CreditDesk::refusal(CreditDecision::Outcome outcome, Milliseconds wait)
 {
     // Up to twice the wait, at random: otherwise all refused callers would retry at once for the same credit.
-    const Milliseconds comeBack = std::max(ShortestComeBack, wait) * (1 + this->random->unit());
+    const Milliseconds comeBack = std::max(MinimumRetryDelay, wait) * (1 + this->random->unit());
     return { .outcome = outcome, .grantedAt = {}, .comeBackAfter = comeBack };
 }
 
 std::optional<Milliseconds> CreditDesk::takeLocal(const Customer& customer, Milliseconds now)
 {
-    std::deque<Milliseconds>& unused = this->accounts[customer.name].unused;
+    std::deque<Milliseconds>& unused = this->accounts[customer.name].unusedCredits;
     while (!unused.empty() && now - unused.front() >= CreditLife)
         unused.pop_front();
     if (!unused.empty()) {
@@ -38,8 +38,8 @@
         return std::nullopt;
     const QuotaPlan plan(customer.limit, this->options.bound);
     const auto all = static_cast<double>(std::max<std::size_t>(*this->instances, 1));
-    const DealtBudget::Part part{ .perSecond = plan.dealtPerSecond() / all, .window = DealtWindow };
-    return this->dealt.take(customer.name, part, *this->random, now) ? std::optional(now) : std::nullopt;
+    const DealtBudget::Part part{ .perSecond = plan.usableWithoutGrantPerSecond() / all, .window = LocalBudgetWindow };
+    return this->localBudget.take(customer.name, part, *this->random, now) ? std::optional(now) : std::nullopt;
 }
 
 CreditDecision CreditDesk::request(RequestNumber request, const Customer& customer, Milliseconds now)
@@ -50,16 +50,16 @@
     if (now < account.exhaustedUntil)
         return this->refusal(CreditDecision::Outcome::Exhausted, account.exhaustedUntil - now);
     if (this->isSilent(now))
-        return this->refusal(CreditDecision::Outcome::Unconfirmed, this->silentUntil - now);
+        return this->refusal(CreditDecision::Outcome::Unconfirmed, this->unresponsiveUntil - now);
     account.waiting.push_back(request);
-    this->busy.insert(customer.name);
+    this->activeCustomers.insert(customer.name);
     return { .outcome = CreditDecision::Outcome::Awaited, .grantedAt = {}, .comeBackAfter = {} };
 }
 
 void CreditDesk::giveBack(const std::string& customer, Milliseconds grantedAt, Milliseconds now)
 {
     if (now - grantedAt < CreditLife)
-        this->accounts[customer].unused.push_back(grantedAt);
+        this->accounts[customer].unusedCredits.push_back(grantedAt);
 }
 
 void CreditDesk::forget(RequestNumber request, const std::string& customer)
@@ -75,19 +75,20 @@
 std::vector<CreditDesk::Ask> CreditDesk::takeAsks(Milliseconds now)
 {
     std::vector<Ask> asks;
-    std::erase_if(this->busy, [this](const std::string& customer) {
+    std::erase_if(this->activeCustomers, [this](const std::string& customer) {
         const Account& account = this->accounts[customer];
-        return account.waiting.empty() && !account.asked;
+        return account.waiting.empty() && !account.pendingQuery;
     });
-    for (const std::string& customer : this->busy) {
+    for (const std::string& customer : this->activeCustomers) {
         Account& account = this->accounts[customer];
-        if (account.asked)
+        if (account.pendingQuery)
             continue;
-        account.asked = ++this->lastAsk;
-        account.askedFor = account.waiting.size();
-        account.answerDue = now + this->options.answerPatience;
-        asks.push_back(
-            { .number = account.asked, .customer = customer, .requests = static_cast<unsigned>(account.askedFor) });
+        account.pendingQuery = ++this->lastQuery;
+        account.queriedRequests = account.waiting.size();
+        account.answerDeadline = now + this->options.answerTimeout;
+        asks.push_back({ .number = account.pendingQuery,
+            .customer = customer,
+            .requests = static_cast<unsigned>(account.queriedRequests) });
     }
     return asks;
 }
@@ -104,15 +105,15 @@
 std::vector<CreditDesk::Settled> CreditDesk::nobodyGrants(Milliseconds now)
 {
     std::vector<Settled> settled;
-    this->silentUntil = now + this->options.silentPause;
-    for (const std::string& customer : this->busy) {
+    this->unresponsiveUntil = now + this->options.unresponsivePause;
+    for (const std::string& customer : this->activeCustomers) {
         Account& account = this->accounts[customer];
-        account.asked = 0;
-        account.asks = 0;
-        account.answerDue = Never;
+        account.pendingQuery = 0;
+        account.unansweredQueries = 0;
+        account.answerDeadline = Never;
         while (!account.waiting.empty())
-            this->refuseFront(
-                account, 1, this->refusal(CreditDecision::Outcome::Unconfirmed, this->options.silentPause), settled);
+            this->refuseFront(account, 1,
+                this->refusal(CreditDecision::Outcome::Unconfirmed, this->options.unresponsivePause), settled);
     }
     return settled;
 }
@@ -122,18 +123,18 @@
     std::vector<Settled> settled;
     const auto found = this->accounts.find(answer.customer);
     // Credit in a late answer is discarded: the granting instance may have lost its role since then.
-    if (found == this->accounts.end() || !answer.number || found->second.asked != answer.number)
+    if (found == this->accounts.end() || !answer.number || found->second.pendingQuery != answer.number)
         return settled;
     if (!answer.isGranting)
         return this->nobodyGrants(now);
     Account& account = found->second;
     // The exact time of the grant is unknown. Taking the time when the query was sent, the earliest possible, makes
     // the credit expire early rather than late.
-    const Milliseconds grantedAt = account.answerDue - this->options.answerPatience;
-    const std::size_t asked = account.askedFor;
-    account.asked = 0;
-    account.asks = 0;
-    account.answerDue = Never;
+    const Milliseconds grantedAt = account.answerDeadline - this->options.answerTimeout;
+    const std::size_t asked = account.queriedRequests;
+    account.pendingQuery = 0;
+    account.unansweredQueries = 0;
+    account.answerDeadline = Never;
     unsigned left = answer.grant.amount;
     std::size_t served = 0;
     for (; left && !account.waiting.empty(); --left, ++served) {
@@ -154,13 +155,13 @@
 std::vector<CreditDesk::Settled> CreditDesk::tick(Milliseconds now)
 {
     bool isSilent = false;
-    for (const std::string& customer : this->busy) {
+    for (const std::string& customer : this->activeCustomers) {
         Account& account = this->accounts[customer];
-        if (now < account.answerDue)
+        if (now < account.answerDeadline)
             continue;
-        account.answerDue = Never;
-        account.asked = 0;
-        isSilent = isSilent || ++account.asks >= this->options.mostAsks;
+        account.answerDeadline = Never;
+        account.pendingQuery = 0;
+        isSilent = isSilent || ++account.unansweredQueries >= this->options.maximumQueries;
     }
     return isSilent ? this->nobodyGrants(now) : std::vector<Settled>();
 }
@@ -168,8 +169,8 @@
 Milliseconds CreditDesk::nextDue() const
 {
     Milliseconds due = Never;
-    for (const std::string& customer : this->busy)
-        due = std::min(due, this->accounts.at(customer).answerDue);
+    for (const std::string& customer : this->activeCustomers)
+        due = std::min(due, this->accounts.at(customer).answerDeadline);
     return due;
 }
 
--- a/Source/Quotas/CreditDesk.h
+++ b/Source/Quotas/CreditDesk.h
@@ -47,9 +47,9 @@
 public:
     struct Options {
         QuotaBound bound;
-        Milliseconds answerPatience{ 100 }; // per query: 40 ms round trip to another region, plus slow processors
-        unsigned mostAsks = 2; // queries in a row without an answer before the waiting requests are refused
-        Milliseconds silentPause{ 300 }; // no query is sent for this long after that
+        Milliseconds answerTimeout{ 100 }; // per query: 40 ms round trip to another region, plus slow processors
+        unsigned maximumQueries = 2; // queries in a row without an answer before the waiting requests are refused
+        Milliseconds unresponsivePause{ 300 }; // no query is sent for this long after that
     };
 
     /** A query to the granting instance. */
@@ -96,18 +96,18 @@
     std::vector<Settled> tick(Milliseconds now);
     Milliseconds nextDue() const;
     /** True for a short time after the granting instance failed to answer, or there was none. */
-    bool isSilent(Milliseconds now) const { return now < this->silentUntil; }
+    bool isSilent(Milliseconds now) const { return now < this->unresponsiveUntil; }
 
 private:
     /** The credit state of one customer at this instance. */
     struct Account {
         std::deque<RequestNumber> waiting;
-        std::uint64_t asked = 0; // the number of the query under way; 0: none
-        std::size_t askedFor = 0; // how many requests that query asks credit for
-        unsigned asks = 0; // queries in a row without an answer
-        Milliseconds answerDue = Never;
+        std::uint64_t pendingQuery = 0; // the number of the query under way; 0: none
+        std::size_t queriedRequests = 0; // how many requests that query asks credit for
+        unsigned unansweredQueries = 0; // queries in a row without an answer
+        Milliseconds answerDeadline = Never;
         Milliseconds exhaustedUntil = LongAgo; // requests that need a grant are refused until then
-        std::deque<Milliseconds> unused; // when each unused credit was granted, oldest first
+        std::deque<Milliseconds> unusedCredits; // when each unused credit was granted, oldest first
     };
 
     CreditDecision refusal(CreditDecision::Outcome outcome, Milliseconds wait);
@@ -117,11 +117,11 @@
     Options options;
     Random* random;
     std::optional<std::size_t> instances;
-    DealtBudget dealt;
+    DealtBudget localBudget;
     std::map<std::string, Account> accounts; // by customer
-    std::set<std::string> busy; // customers with waiting requests or a query under way
-    std::uint64_t lastAsk = 0;
-    Milliseconds silentUntil = LongAgo; // end of the pause after the granting instance did not answer
+    std::set<std::string> activeCustomers; // customers with waiting requests or a query under way
+    std::uint64_t lastQuery = 0;
+    Milliseconds unresponsiveUntil = LongAgo; // end of the pause after the granting instance did not answer
 };
 
 }
--- a/Source/Quotas/CreditGrants.cpp
+++ b/Source/Quotas/CreditGrants.cpp
@@ -11,7 +11,7 @@
  * The burst in Half mode, as a time at half the rate. It is short because two instances may grant at once, and each
  * of them may grant its whole burst at once.
  */
-constexpr Milliseconds SavedByHalf{ 200 };
+constexpr Milliseconds HalfModeBurst{ 200 };
 
 }
 
@@ -22,17 +22,17 @@
 
 void CreditGrants::begin(bool isFirst, Milliseconds now)
 {
-    this->beginsFull = isFirst;
-    this->began = now;
+    this->startsFull = isFirst;
+    this->grantingSince = now;
     this->accounts.clear();
 }
 
-CreditBucket::Rate CreditGrants::rateOf(const QuotaPlan& plan, GrantMode mode) const
+TokenBucket::Rate CreditGrants::rateOf(const QuotaPlan& plan, GrantMode mode) const
 {
     if (mode == GrantMode::Full)
-        return { .perSecond = plan.grantedPerSecond(), .most = plan.grantedAtOnce() };
+        return { .perSecond = plan.grantedPerSecond(), .capacity = plan.grantBurst() };
     const double half = plan.grantedPerSecond() * HalfShare;
-    return { .perSecond = half, .most = std::max(1.0, half * (SavedByHalf / Second)) };
+    return { .perSecond = half, .capacity = std::max(1.0, half * (HalfModeBurst / Second)) };
 }
 
 CreditGrant CreditGrants::grant(const Customer& customer, unsigned wanted, GrantMode mode, Milliseconds now)
@@ -40,21 +40,21 @@
     if (mode == GrantMode::None)
         return {};
     const QuotaPlan plan(customer.limit, this->bound);
-    const CreditBucket::Rate rate = this->rateOf(plan, mode);
+    const TokenBucket::Rate rate = this->rateOf(plan, mode);
     auto account = this->accounts.find(customer.name);
     if (account == this->accounts.end()) {
         // The customer took nothing since this instance began to grant, so its bucket has filled since then.
-        const CreditBucket fresh(this->beginsFull ? rate.most : 0, this->began);
+        const TokenBucket fresh(this->startsFull ? rate.capacity : 0, this->grantingSince);
         const SlidingCount none(this->bound.window);
         account = this->accounts.emplace(customer.name, Account{ .bucket = fresh, .granted = none }).first;
     }
-    CreditBucket& bucket = account->second.bucket;
+    TokenBucket& bucket = account->second.bucket;
     CreditGrant grant;
     grant.amount = bucket.take(wanted, rate, now);
     for (unsigned count = 0; count < grant.amount; ++count)
         account->second.granted.add(now);
     if (grant.amount < wanted)
-        grant.wait = bucket.untilNext(rate);
+        grant.wait = bucket.timeUntilNext(rate);
     return grant;
 }
 
--- a/Source/Quotas/CreditGrants.h
+++ b/Source/Quotas/CreditGrants.h
@@ -2,8 +2,8 @@
 
 #include "Attempts/SlidingCount.h"
 #include "Customers/Customer.h"
-#include "Quotas/CreditBucket.h"
 #include "Quotas/QuotaPlan.h"
+#include "Quotas/TokenBucket.h"
 
 #include <cstdint>
 #include <string>
@@ -40,15 +40,15 @@
 
 private:
     struct Account {
-        CreditBucket bucket;
+        TokenBucket bucket;
         SlidingCount granted;
     };
 
-    CreditBucket::Rate rateOf(const QuotaPlan& plan, GrantMode mode) const;
+    TokenBucket::Rate rateOf(const QuotaPlan& plan, GrantMode mode) const;
 
     QuotaBound bound;
-    bool beginsFull = false;
-    Milliseconds began = LongAgo;
+    bool startsFull = false;
+    Milliseconds grantingSince = LongAgo;
     std::unordered_map<std::string, Account> accounts; // by customer
 };
 
--- a/Source/Quotas/GrantorTenure.cpp
+++ b/Source/Quotas/GrantorTenure.cpp
@@ -10,7 +10,7 @@
 /** The clocks of two instances run at different speeds by less than this factor. */
 constexpr double ClockMargin = 1.1;
 /** How often to check the holder while it is another instance that is alive. */
-constexpr Milliseconds LookInterval{ 300 };
+constexpr Milliseconds CheckInterval{ 300 };
 
 bool isSameAddress(const peers::Member& left, const peers::Member& right)
 {
@@ -19,7 +19,7 @@
 
 }
 
-std::string writeGrantor(const peers::CreditGrantor& grantor)
+std::string encodeGrantor(const peers::CreditGrantor& grantor)
 {
     std::string text;
     // Converting a message with only plain fields to JSON cannot fail.
@@ -44,72 +44,74 @@
 {
 }
 
-bool GrantorTenure::isNamed() const
+bool GrantorTenure::isHolder() const
 {
-    if (!this->named || this->named->released())
+    if (!this->holderRecord || this->holderRecord->released())
         return false;
-    const peers::Incarnation& life = this->named->member().incarnation();
+    const peers::Incarnation& life = this->holderRecord->member().incarnation();
     const peers::Incarnation& own = this->options.self.incarnation();
     return life.name() == own.name() && life.number() == own.number();
 }
 
 std::optional<peers::Member> GrantorTenure::holder() const
 {
-    return this->named && !this->named->released() ? std::optional(this->named->member()) : std::nullopt;
+    return this->holderRecord && !this->holderRecord->released() ? std::optional(this->holderRecord->member())
+                                                                 : std::nullopt;
 }
 
-void GrantorTenure::look(const StoreItem* stored, Milliseconds now)
+void GrantorTenure::updateHolder(const StoreItem* stored, Milliseconds now)
 {
     const StoreRevision revision = stored ? stored->revision : 0;
-    if (revision == this->namedAt)
+    if (revision == this->holderRevision)
         return;
-    this->namedAt = revision;
-    this->namedSince = now;
-    this->named = stored && !stored->removed ? readGrantor(stored->value) : std::nullopt;
-    if (this->isNamed())
-        this->begin(now);
+    this->holderRevision = revision;
+    this->holderSince = now;
+    this->holderRecord = stored && !stored->removed ? readGrantor(stored->value) : std::nullopt;
+    if (this->isHolder())
+        this->startHolding(now);
 }
 
-void GrantorTenure::begin(Milliseconds now)
+void GrantorTenure::startHolding(Milliseconds now)
 {
-    this->hasGivenUp = false;
-    this->nextProof = now;
-    const bool isFree = this->before == Predecessor::Nobody || this->before == Predecessor::Gone;
+    this->hasStopped = false;
+    this->nextConfirmation = now;
+    const bool isFree
+        = this->replacedPredecessor == Predecessor::None || this->replacedPredecessor == Predecessor::Gone;
     // The predecessor's last confirmation is older than this instance's write. So it grants in full for at most fullFor
     // from now, and half for at most halfFor.
     this->halfFrom = isFree ? now : now + this->options.fullFor * ClockMargin;
     this->fullFrom = isFree ? now : now + this->options.halfFor * ClockMargin;
-    this->begunAt = this->halfFrom;
+    this->grantingStart = this->halfFrom;
 }
 
 GrantMode GrantorTenure::mode(Milliseconds now) const
 {
-    if (!this->isNamed() || this->hasGivenUp || now < this->halfFrom)
+    if (!this->isHolder() || this->hasStopped || now < this->halfFrom)
         return GrantMode::None;
-    const Milliseconds age = now - this->proof;
+    const Milliseconds age = now - this->confirmedAt;
     if (age > this->options.halfFor)
         return GrantMode::None;
     return now < this->fullFrom || age > this->options.fullFor ? GrantMode::Half : GrantMode::Full;
 }
 
-GrantorTenure::Predecessor GrantorTenure::predecessor(const Surroundings& around, Milliseconds now) const
+GrantorTenure::Predecessor GrantorTenure::evaluatePredecessor(const Inputs& around, Milliseconds now) const
 {
     if (!around.stored)
-        return Predecessor::Nobody;
-    if (!this->named)
+        return Predecessor::None;
+    if (!this->holderRecord)
         return Predecessor::Uncertain; // the item was removed, or an instance did not write it
-    if (this->named->released())
+    if (this->holderRecord->released())
         return Predecessor::Gone;
-    const peers::Member& member = this->named->member();
+    const peers::Member& member = this->holderRecord->member();
     if (member.incarnation().name() != this->options.self.incarnation().name())
-        return this->otherPredecessor(around, now);
+        return this->evaluateOtherInstance(around, now);
     // An earlier run of this instance. If this process now listens at its address, that run has ended.
     return isSameAddress(member, this->options.self) ? Predecessor::Gone : Predecessor::Uncertain;
 }
 
-GrantorTenure::Predecessor GrantorTenure::otherPredecessor(const Surroundings& around, Milliseconds now) const
+GrantorTenure::Predecessor GrantorTenure::evaluateOtherInstance(const Inputs& around, Milliseconds now) const
 {
-    const peers::Member& member = this->named->member();
+    const peers::Member& member = this->holderRecord->member();
     const auto heard = around.heard(member.incarnation().name());
     const bool isLaterLife = heard && heard->member.incarnation().number() > member.incarnation().number()
         && isSameAddress(heard->member, member);
@@ -118,7 +120,7 @@
     const bool isAlive = heard && now - heard->at < this->options.lostAfter && !around.isSilent;
     // An instance that has only just started to watch has not received messages from all others yet, and an instance
     // that is not the leading watcher receives them from few.
-    const Milliseconds since = std::max(this->namedSince, this->watchingSince);
+    const Milliseconds since = std::max(this->holderSince, this->watchingSince);
     const bool isLost = !isAlive && (heard || around.leads) && now - since > this->options.lostAfter;
     return isLost ? Predecessor::Uncertain : Predecessor::Present;
 }
@@ -132,100 +134,101 @@
     request.number = this->numbers->next();
     request.operation = StoreOperation::Write;
     request.key = GrantorKey;
-    request.value = writeGrantor(grantor);
+    request.value = encodeGrantor(grantor);
     request.expected = stored && !stored->removed ? stored->revision : 0;
     request.timeout = this->options.answerTimeout;
-    this->value = request.value;
-    this->pending = request.number;
-    this->askedAt = now;
+    this->writtenValue = request.value;
+    this->pendingWrite = request.number;
+    this->writeSentAt = now;
     return request;
 }
 
-StoreRequest GrantorTenure::askForProof(Milliseconds now)
+StoreRequest GrantorTenure::requestConfirmation(Milliseconds now)
 {
     StoreRequest request;
     request.number = this->numbers->next();
     request.operation = StoreOperation::ReadRange;
     request.key = GrantorKey;
     request.timeout = this->options.answerTimeout;
-    this->pendingProof = request.number;
-    this->proofAskedAt = now;
-    this->nextProof = now + this->options.proofInterval;
+    this->pendingConfirmation = request.number;
+    this->confirmationSentAt = now;
+    this->nextConfirmation = now + this->options.confirmationInterval;
     return request;
 }
 
-std::optional<StoreRequest> GrantorTenure::keep(const Surroundings& around, Milliseconds now)
+std::optional<StoreRequest> GrantorTenure::renewOrRelease(const Inputs& around, Milliseconds now)
 {
-    if (!around.isNeeded && !this->pending && now >= this->pausedUntil) {
-        this->hasGivenUp = true;
+    if (!around.isNeeded && !this->pendingWrite && now >= this->pausedUntil) {
+        this->hasStopped = true;
         return this->write(around.stored, true, now);
     }
-    const bool isDue = !this->pendingProof && now >= this->nextProof;
-    auto proof = isDue ? std::optional(this->askForProof(now)) : std::nullopt;
+    const bool isDue = !this->pendingConfirmation && now >= this->nextConfirmation;
+    auto proof = isDue ? std::optional(this->requestConfirmation(now)) : std::nullopt;
     // While a call is under way, its answer leads to the next check.
-    this->lookAgainAt = this->pendingProof ? Never : this->nextProof;
+    this->nextCheck = this->pendingConfirmation ? Never : this->nextConfirmation;
     return proof;
 }
 
-std::optional<StoreRequest> GrantorTenure::replace(const Surroundings& around, Milliseconds now)
+std::optional<StoreRequest> GrantorTenure::acquire(const Inputs& around, Milliseconds now)
 {
-    if (!around.isNeeded || !around.isWatching || this->pending || now < this->pausedUntil)
+    if (!around.isNeeded || !around.isWatching || this->pendingWrite || now < this->pausedUntil)
         return std::nullopt;
-    const Predecessor found = this->predecessor(around, now);
+    const Predecessor found = this->evaluatePredecessor(around, now);
     const bool isOthersTurn = !around.leads
-        && (found == Predecessor::Nobody
-            || (found == Predecessor::Gone && now - this->namedSince < this->options.leaderFirst));
+        && (found == Predecessor::None
+            || (found == Predecessor::Gone && now - this->holderSince < this->options.leaderFirst));
     if (found == Predecessor::Present || isOthersTurn) {
-        this->lookAgainAt = now + LookInterval;
+        this->nextCheck = now + CheckInterval;
         return std::nullopt;
     }
-    this->before = found;
+    this->replacedPredecessor = found;
     return this->write(around.stored, false, now);
 }
 
-std::optional<StoreRequest> GrantorTenure::next(const Surroundings& around, Milliseconds now)
+std::optional<StoreRequest> GrantorTenure::next(const Inputs& around, Milliseconds now)
 {
-    this->look(around.stored, now);
+    this->updateHolder(around.stored, now);
     if (!around.isWatching)
         this->watchingSince = now;
-    this->lookAgainAt = this->pausedUntil > now ? this->pausedUntil : Never;
-    return this->isNamed() && !this->hasGivenUp ? this->keep(around, now) : this->replace(around, now);
+    this->nextCheck = this->pausedUntil > now ? this->pausedUntil : Never;
+    return this->isHolder() && !this->hasStopped ? this->renewOrRelease(around, now) : this->acquire(around, now);
 }
 
-void GrantorTenure::proofAnswered(const StoreAnswer& answer)
+void GrantorTenure::handleConfirmation(const StoreAnswer& answer)
 {
-    this->pendingProof = 0;
+    this->pendingConfirmation = 0;
     if (answer.status != StoreStatus::Done)
         return;
-    const bool isNamedThere = answer.items.size() == 1 && answer.items.front().revision == this->namedAt;
+    const bool isNamedThere = answer.items.size() == 1 && answer.items.front().revision == this->holderRevision;
     if (isNamedThere)
-        this->proof = std::max(this->proof, this->proofAskedAt);
+        this->confirmedAt = std::max(this->confirmedAt, this->confirmationSentAt);
     else
-        this->hasGivenUp = true; // another instance is the holder; the watch will deliver the new item
+        this->hasStopped = true; // another instance is the holder; the watch will deliver the new item
 }
 
 bool GrantorTenure::answered(const StoreAnswer& answer, Milliseconds now)
 {
-    if (this->pendingProof && answer.number == this->pendingProof) {
-        this->proofAnswered(answer);
+    if (this->pendingConfirmation && answer.number == this->pendingConfirmation) {
+        this->handleConfirmation(answer);
         return true;
     }
-    if (!this->pending || answer.number != this->pending)
+    if (!this->pendingWrite || answer.number != this->pendingWrite)
         return false;
-    this->pending = 0;
+    this->pendingWrite = 0;
     if (answer.status != StoreStatus::Done) {
         // A refused write had no effect. If it was to release the role, this instance still holds it.
         if (answer.status == StoreStatus::Refused)
-            this->hasGivenUp = false;
+            this->hasStopped = false;
         // The watch delivers the present item: after a conflict that of another instance, after a lost answer perhaps
         // the one written here.
         this->pausedUntil = now + this->backoff.next(*this->random);
         return true;
     }
     this->backoff.reset();
-    this->proof = this->askedAt;
-    this->written
-        = StoreItem{ .key = GrantorKey, .value = std::move(this->value), .revision = answer.at, .removed = false };
+    this->confirmedAt = this->writeSentAt;
+    this->written = StoreItem{
+        .key = GrantorKey, .value = std::move(this->writtenValue), .revision = answer.at, .removed = false
+    };
     return true;
 }
 
--- a/Source/Quotas/GrantorTenure.h
+++ b/Source/Quotas/GrantorTenure.h
@@ -21,7 +21,7 @@
 inline constexpr const char* GrantorKey = "burlreach/credit-grantor";
 
 /** Encodes the message as JSON. */
-std::string writeGrantor(const peers::CreditGrantor& grantor);
+std::string encodeGrantor(const peers::CreditGrantor& grantor);
 /** nullopt when the value is not such a message. */
 std::optional<peers::CreditGrantor> readGrantor(const std::string& value);
 
@@ -43,7 +43,7 @@
 public:
     struct Options {
         peers::Member self;
-        Milliseconds proofInterval{ 300 };
+        Milliseconds confirmationInterval{ 300 };
         Milliseconds fullFor{ 800 }; // since the confirming call was sent; long enough that one call may fail
         /** Longer than most store outages: without it all customers with a limit would be refused during an outage. */
         Milliseconds halfFor{ 10000 };
@@ -59,7 +59,7 @@
     };
 
     /** The inputs of a decision. */
-    struct Surroundings {
+    struct Inputs {
         const StoreItem* stored = nullptr; // the item under GrantorKey, as known here
         bool leads = false; // this instance is the leading watcher
         bool isWatching = false; // this instance watches the store
@@ -71,7 +71,7 @@
     GrantorTenure(Options options, StoreCallNumbers& numbers, Random& random);
 
     /** Evaluates the present state; returns the next call to the store, if one is due. */
-    std::optional<StoreRequest> next(const Surroundings& around, Milliseconds now);
+    std::optional<StoreRequest> next(const Inputs& around, Milliseconds now);
     /** True when the answer belonged to a call of this object. */
     bool answered(const StoreAnswer& answer, Milliseconds now);
     /** The item that this instance wrote, if a write was acknowledged since the last call of this function. */
@@ -82,58 +82,58 @@
     /** The instance that the store names; nullopt while it names none. */
     std::optional<peers::Member> holder() const;
     /** If this instance became the holder since the last call of this function: when it may start to grant. */
-    std::optional<Milliseconds> takeBegun() { return std::exchange(this->begunAt, std::nullopt); }
+    std::optional<Milliseconds> takeBegun() { return std::exchange(this->grantingStart, std::nullopt); }
     /** True when no instance granted before this one became the holder. */
-    bool isFirst() const { return this->before == Predecessor::Nobody; }
+    bool isFirst() const { return this->replacedPredecessor == Predecessor::None; }
     /** When next() must be called again even if no message arrives. */
-    Milliseconds nextDue() const { return this->lookAgainAt; }
+    Milliseconds nextDue() const { return this->nextCheck; }
 
 private:
     /** Whether the previous holder may still grant. */
     enum class Predecessor {
-        Nobody, // there was none
+        None, // there was none
         Gone, // it grants nothing: it released the role, or its process has ended
         Uncertain, // it does not keep the role, but may still grant
         Present // it is alive and keeps the role
     };
 
     /** Reads the item if its revision has changed; begins to grant if it names this instance. */
-    void look(const StoreItem* stored, Milliseconds now);
-    void begin(Milliseconds now);
-    bool isNamed() const;
-    Predecessor predecessor(const Surroundings& around, Milliseconds now) const;
-    Predecessor otherPredecessor(const Surroundings& around, Milliseconds now) const;
+    void updateHolder(const StoreItem* stored, Milliseconds now);
+    void startHolding(Milliseconds now);
+    bool isHolder() const;
+    Predecessor evaluatePredecessor(const Inputs& around, Milliseconds now) const;
+    Predecessor evaluateOtherInstance(const Inputs& around, Milliseconds now) const;
     /** As the holder: the next call to confirm the role, or to release it when it is no longer needed. */
-    std::optional<StoreRequest> keep(const Surroundings& around, Milliseconds now);
+    std::optional<StoreRequest> renewOrRelease(const Inputs& around, Milliseconds now);
     /** When not the holder: the write that takes the role, if it is free or the holder is lost. */
-    std::optional<StoreRequest> replace(const Surroundings& around, Milliseconds now);
+    std::optional<StoreRequest> acquire(const Inputs& around, Milliseconds now);
     StoreRequest write(const StoreItem* stored, bool isReleased, Milliseconds now);
-    StoreRequest askForProof(Milliseconds now);
-    void proofAnswered(const StoreAnswer& answer);
+    StoreRequest requestConfirmation(Milliseconds now);
+    void handleConfirmation(const StoreAnswer& answer);
 
     Options options;
     StoreCallNumbers* numbers;
     Random* random;
     Backoff backoff;
-    std::optional<peers::CreditGrantor> named; // the holder according to the store
-    StoreRevision namedAt = 0; // the revision of that item
-    Milliseconds namedSince = LongAgo; // when this instance saw that revision first
-    Milliseconds lookAgainAt = Never;
+    std::optional<peers::CreditGrantor> holderRecord; // the holder according to the store
+    StoreRevision holderRevision = 0; // the revision of that item
+    Milliseconds holderSince = LongAgo; // when this instance saw that revision first
+    Milliseconds nextCheck = Never;
     Milliseconds pausedUntil = LongAgo; // backoff after a failed write
-    StoreCallNumber pending = 0; // the write under way; 0: none
-    StoreCallNumber pendingProof = 0; // the confirming read under way; 0: none
-    Milliseconds askedAt; // when the pending write was sent
-    Milliseconds proofAskedAt = LongAgo;
-    Milliseconds nextProof = LongAgo;
+    StoreCallNumber pendingWrite = 0; // the write under way; 0: none
+    StoreCallNumber pendingConfirmation = 0; // the confirming read under way; 0: none
+    Milliseconds writeSentAt; // when the pending write was sent
+    Milliseconds confirmationSentAt = LongAgo;
+    Milliseconds nextConfirmation = LongAgo;
     Milliseconds watchingSince = LongAgo;
-    std::string value; // of the pending write
+    std::string writtenValue; // of the pending write
     std::optional<StoreItem> written;
-    bool hasGivenUp = false; // this instance grants nothing more under the present item, though it may be named there
-    Predecessor before = Predecessor::Uncertain; // when this instance wrote its name
-    std::optional<Milliseconds> begunAt;
+    bool hasStopped = false; // this instance grants nothing more under the present item, though it may be named there
+    Predecessor replacedPredecessor = Predecessor::Uncertain; // when this instance wrote its name
+    std::optional<Milliseconds> grantingStart;
     Milliseconds halfFrom = Never;
     Milliseconds fullFrom = Never;
-    Milliseconds proof = LongAgo; // when the last call was sent that confirmed this instance as the holder
+    Milliseconds confirmedAt = LongAgo; // when the last call was sent that confirmed this instance as the holder
 };
 
 }
--- a/Source/Quotas/QuotaPlan.cpp
+++ b/Source/Quotas/QuotaPlan.cpp
@@ -11,8 +11,8 @@
  * at random, and a quota window of 5 s overlaps up to six draw windows of 1 s: with 984 instances the sum of all draws
  * exceeds twice this share in one of several thousand quota windows.
  */
-constexpr double DealtShare = 0.2;
-constexpr double KeptForDealt = 2 * DealtShare;
+constexpr double WithoutGrantShare = 0.2;
+constexpr double ReservedShare = 2 * WithoutGrantShare;
 
 }
 
@@ -22,23 +22,23 @@
 {
 }
 
-double QuotaPlan::beyondLimit() const
+double QuotaPlan::margin() const
 {
     const double within = this->limit.requestsPerSecond * (this->bound.window / Second) + this->limit.burst;
     return within * this->bound.overage + this->bound.slack;
 }
 
-double QuotaPlan::grantedAtOnce() const
+double QuotaPlan::grantBurst() const
 {
     const double usedLater = this->limit.requestsPerSecond * (CreditLife / Second);
-    const double left = this->limit.burst + this->beyondLimit() * (1 - KeptForDealt) - usedLater;
+    const double left = this->limit.burst + this->margin() * (1 - ReservedShare) - usedLater;
     // With a capacity below one whole request nothing could ever be granted.
     return std::max(1.0, left);
 }
 
-double QuotaPlan::dealtPerSecond() const
+double QuotaPlan::usableWithoutGrantPerSecond() const
 {
-    return this->beyondLimit() * DealtShare / (this->bound.window / Second);
+    return this->margin() * WithoutGrantShare / (this->bound.window / Second);
 }
 
 }
--- a/Source/Quotas/QuotaPlan.h
+++ b/Source/Quotas/QuotaPlan.h
@@ -29,13 +29,13 @@
 
     double grantedPerSecond() const { return this->limit.requestsPerSecond; }
     /** The most credit that may be saved up and then granted at once, in requests. */
-    double grantedAtOnce() const;
+    double grantBurst() const;
     /** Requests that all instances together may let through without a grant. */
-    double dealtPerSecond() const;
+    double usableWithoutGrantPerSecond() const;
 
 private:
     /** Requests a window between the limit and the bound. */
-    double beyondLimit() const;
+    double margin() const;
 
     CustomerLimit limit;
     QuotaBound bound;
--- a/Source/Quotas/CreditBucket.h
+++ b/Source/Quotas/TokenBucket.h
@@ -5,22 +5,22 @@
 namespace burlreach {
 
 /** A token bucket: credit accrues at a fixed rate up to a maximum and is taken in whole requests. */
-class CreditBucket {
+class TokenBucket {
 public:
     struct Rate {
         double perSecond = 0; // requests
-        double most = 0; // capacity of the bucket, in requests
+        double capacity = 0; // capacity of the bucket, in requests
     };
 
-    CreditBucket(double saved, Milliseconds now);
+    TokenBucket(double saved, Milliseconds now);
 
     /** Adds the credit accrued since the last call, then takes credit for up to `wanted` requests; returns how many. */
     unsigned take(unsigned wanted, const Rate& rate, Milliseconds now);
     /** The time until there is credit for one more request; Never when none accrues. */
-    Milliseconds untilNext(const Rate& rate) const;
+    Milliseconds timeUntilNext(const Rate& rate) const;
 
 private:
-    double saved;
+    double tokens;
     Milliseconds filledAt;
 };
 
--- a/Source/Rollouts/PageTest.cpp
+++ b/Source/Rollouts/CusumDetector.cpp
@@ -1,4 +1,4 @@
-#include "Rollouts/PageTest.h"
+#include "Rollouts/CusumDetector.h"
 
 #include <algorithm>
 #include <cmath>
@@ -9,10 +9,10 @@
 
 /** The share of bad answers up to which a version counts as good: at least this, or this factor times the usual share.
  */
-constexpr double LeastGoodShare = 0.02;
+constexpr double MinimumGoodShare = 0.02;
 constexpr double GoodFactor = 1.5;
 /** The smallest increase in the share of bad answers that the test is designed to detect. */
-constexpr double Difference = 0.12;
+constexpr double DetectedIncrease = 0.12;
 constexpr double HighestShare = 0.9;
 /**
  * The log likelihood ratio at which a version counts as bad. A good version reaches it in about one of three thousand
@@ -22,18 +22,18 @@
 
 }
 
-void PageTest::add(const AnswerCounts& answers, double usualShare)
+void CusumDetector::add(const AnswerCounts& answers, double usualShare)
 {
     if (!answers.all)
         return;
-    const double good = std::clamp(usualShare * GoodFactor, LeastGoodShare, HighestShare - Difference);
-    const double bad = std::max(good + Difference, std::min(HighestShare, usualShare * GoodFactor * 2));
+    const double good = std::clamp(usualShare * GoodFactor, MinimumGoodShare, HighestShare - DetectedIncrease);
+    const double bad = std::max(good + DetectedIncrease, std::min(HighestShare, usualShare * GoodFactor * 2));
     const double ofBad = std::log(bad / good);
     const double ofGood = std::log((1 - bad) / (1 - good));
     const auto badAnswers = static_cast<double>(answers.bad);
     const double goodAnswers = static_cast<double>(answers.all) - badAnswers;
     this->sum = std::max(0.0, this->sum + badAnswers * ofBad + goodAnswers * ofGood);
-    this->found = this->found || this->sum > Threshold;
+    this->hasDetected = this->hasDetected || this->sum > Threshold;
 }
 
 }
--- a/Source/Rollouts/PageTest.h
+++ b/Source/Rollouts/CusumDetector.h
@@ -9,15 +9,15 @@
  * usual version. It sums the log likelihood ratio of "bad" against "good" over all answers and restarts at zero
  * whenever the sum becomes negative, so a long series of good answers does not hide a later change.
  */
-class PageTest {
+class CusumDetector {
 public:
     /** Adds answers of the target version; usualShare is the usual version's share of bad answers so far. */
     void add(const AnswerCounts& answers, double usualShare);
-    bool isBad() const { return this->found; }
+    bool isBad() const { return this->hasDetected; }
 
 private:
     double sum = 0;
-    bool found = false;
+    bool hasDetected = false;
 };
 
 }
--- a/Source/Rollouts/FleetEvidence.cpp
+++ b/Source/Rollouts/FleetEvidence.cpp
@@ -11,7 +11,7 @@
     return answers.all ? static_cast<double>(answers.bad) / static_cast<double>(answers.all) : 0;
 }
 
-bool isLess(const VersionCounts& left, const VersionCounts& right)
+bool hasDecreased(const VersionCounts& left, const VersionCounts& right)
 {
     return left.usual.all < right.usual.all || left.usual.bad < right.usual.bad || left.target.all < right.target.all
         || left.target.bad < right.target.bad;
@@ -25,7 +25,7 @@
     for (const auto& [route, now] : counts) {
         VersionCounts& known = before[route];
         // An older report that arrived after a newer one.
-        if (isLess(now, known))
+        if (hasDecreased(now, known))
             continue;
         this->add(route, now - known);
         known = now;
--- a/Source/Rollouts/FleetEvidence.h
+++ b/Source/Rollouts/FleetEvidence.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Rollouts/AnswerCounts.h"
-#include "Rollouts/PageTest.h"
+#include "Rollouts/CusumDetector.h"
 
 #include <cstdint>
 #include <map>
@@ -28,7 +28,7 @@
 private:
     struct Route {
         VersionCounts sum;
-        PageTest test;
+        CusumDetector test;
     };
 
     void add(const std::string& route, const VersionCounts& more);
@@ -36,7 +36,7 @@
     std::map<std::pair<std::string, std::uint64_t>, CountsByRoute> byInstance; // last totals, by name and life
     std::map<std::string, Route> routes; // by name
     VersionCounts sum;
-    PageTest test;
+    CusumDetector test;
 };
 
 }
--- a/Source/Rollouts/RolloutPlan.cpp
+++ b/Source/Rollouts/RolloutPlan.cpp
@@ -21,22 +21,22 @@
 /** The share of the duration from which all requests move, given enough capacity and answers. */
 constexpr double MoveFrom = 0.68;
 /** From here all requests move even without enough capacity or answers. */
-constexpr double MoveAtLast = 0.85;
+constexpr double MoveDeadline = 0.85;
 /** The answers needed to evaluate the new version. A service with few requests gives it a larger share to get them. */
 constexpr std::uint64_t EnoughAnswers = 25;
-constexpr double LargestFirstShare = 0.2;
+constexpr double MaximumFirstShare = 0.2;
 /** Instances report their counts every 1.2 s: by then the service's request rate is known. */
 constexpr Milliseconds RateKnownAfter{ 2500 };
 /** The capacity that the new version needs before all requests move, as a share of the old version's. */
 constexpr double EnoughCapacity = 0.5;
 /** The share of the duration between the move and completion, in which faults that need the full load show. */
-constexpr double WatchedFor = 0.08;
+constexpr double ObservationShare = 0.08;
 
 /**
  * The state is written again after this share of the duration, so that after a loss of all instances another one
  * continues with a recent elapsed time.
  */
-constexpr double KeptFor = 0.1;
+constexpr double RewriteInterval = 0.1;
 
 double firstShare(const RolloutProgress& progress)
 {
@@ -46,7 +46,7 @@
     const double expected = perSecond * (progress.duration / Second) * Steps[1].from;
     if (expected <= 0)
         return Steps[0].share;
-    return std::clamp(static_cast<double>(EnoughAnswers) / expected, Steps[0].share, LargestFirstShare);
+    return std::clamp(static_cast<double>(EnoughAnswers) / expected, Steps[0].share, MaximumFirstShare);
 }
 
 double shareFor(const RolloutProgress& progress)
@@ -64,7 +64,7 @@
 {
     const double at = progress.elapsed / progress.duration;
     const bool isReady = progress.capacity >= EnoughCapacity && progress.targetAnswers >= EnoughAnswers;
-    return progress.capacity > 0 && ((at >= MoveFrom && isReady) || at >= MoveAtLast);
+    return progress.capacity > 0 && ((at >= MoveFrom && isReady) || at >= MoveDeadline);
 }
 
 RolloutState with(RolloutState state, RolloutPhase phase, double share, Milliseconds elapsed)
@@ -85,7 +85,7 @@
     if (progress.isBad)
         return with(state, RolloutPhase::RolledBack, 0, now);
     if (state.phase == RolloutPhase::Moved) {
-        const bool isWatched = now - state.elapsed >= progress.duration * WatchedFor;
+        const bool isWatched = now - state.elapsed >= progress.duration * ObservationShare;
         const bool isDone = progress.isOldIdle && isWatched;
         return isDone ? std::optional(with(state, RolloutPhase::Completed, 1, now)) : std::nullopt;
     }
@@ -95,7 +95,7 @@
     const double share = progress.capacity > 0 ? shareFor(progress) : 0;
     constexpr double worthAChange = 1.3;
     const bool isLarger = share > state.share * worthAChange;
-    const bool isOld = now - state.elapsed > progress.duration * KeptFor;
+    const bool isOld = now - state.elapsed > progress.duration * RewriteInterval;
     const double kept = isLarger ? share : state.share;
     return isLarger || isOld ? std::optional(with(state, RolloutPhase::Trying, kept, now)) : std::nullopt;
 }
--- a/Source/Store/StoreReader.cpp
+++ b/Source/Store/StoreReader.cpp
@@ -12,7 +12,7 @@
     , numbers(&givenNumbers)
     , random(&givenRandom)
     , backoff(this->options.backoff)
-    , readPatience(this->options.readTimeout)
+    , currentReadTimeout(this->options.readTimeout)
 {
 }
 
@@ -22,7 +22,7 @@
     request.number = this->numbers->next();
     request.operation = operation;
     request.key = this->options.prefix;
-    request.timeout = this->readPatience;
+    request.timeout = this->currentReadTimeout;
     this->pending = request.number;
     this->pendingOperation = operation;
     this->sentAt = now;
@@ -32,8 +32,8 @@
 std::optional<StoreRequest> StoreReader::next(Milliseconds now, bool shouldWatch)
 {
     this->watching = shouldWatch;
-    if (!this->hasBegun) {
-        this->hasBegun = true;
+    if (!this->hasStarted) {
+        this->hasStarted = true;
         this->pausedUntil = now + this->options.firstReadingSpread * this->random->unit();
     }
     if (this->pending || now < this->pausedUntil)
@@ -44,7 +44,7 @@
     if (this->mustRead()) {
         StoreRequest request = this->newRequest(StoreOperation::ReadRange, now);
         if (this->pages.empty()) {
-            this->readingSince = now;
+            this->readingStartedAt = now;
             this->pagesMayBeStale = this->isFirstReading();
         } else
             request.afterKey = this->pages.back().key;
@@ -76,41 +76,42 @@
         return {};
     }
     if (answer.status != StoreStatus::Done)
-        return this->failed(answer.status, now);
+        return this->handleFailure(answer.status, now);
     this->backoff.reset();
-    this->readPatience = this->options.readTimeout;
-    return this->pendingOperation == StoreOperation::Watch ? this->watched(answer, now) : this->rangeRead(answer, now);
+    this->currentReadTimeout = this->options.readTimeout;
+    return this->pendingOperation == StoreOperation::Watch ? this->handleWatch(answer, now)
+                                                           : this->handlePage(answer, now);
 }
 
-StoreNews StoreReader::failed(StoreStatus status, Milliseconds now)
+StoreNews StoreReader::handleFailure(StoreStatus status, Milliseconds now)
 {
     if (status == StoreStatus::Unknown)
-        this->readPatience = std::min(this->readPatience * 2, this->options.longestReadTimeout);
+        this->currentReadTimeout = std::min(this->currentReadTimeout * 2, this->options.longestReadTimeout);
     this->pausedUntil = now + this->backoff.next(*this->random);
     StoreNews news;
     news.isFailure = true;
     return news;
 }
 
-StoreNews StoreReader::rangeRead(const StoreAnswer& answer, Milliseconds now)
+StoreNews StoreReader::handlePage(const StoreAnswer& answer, Milliseconds now)
 {
     this->latency = now - this->sentAt;
     // The pages are not one snapshot: a later page may show a later revision or, if stale, an earlier one.
-    this->pagesAt = this->pages.empty() ? answer.at : std::min(this->pagesAt, answer.at);
+    this->pagesRevision = this->pages.empty() ? answer.at : std::min(this->pagesRevision, answer.at);
     this->pages.insert(this->pages.end(), answer.items.begin(), answer.items.end());
     if (answer.more && !answer.items.empty())
         return {};
     StoreNews news;
-    news.changes = this->view->replaceAll(this->pages, this->pagesAt);
+    news.changes = this->view->replaceAll(this->pages, this->pagesRevision);
     news.isConfirmed = !this->pagesMayBeStale;
     news.isStaleReading = this->pagesMayBeStale;
-    news.confirmedAt = this->readingSince;
+    news.confirmedAt = this->readingStartedAt;
     this->pages.clear();
     this->historyLost = false;
     return news;
 }
 
-StoreNews StoreReader::watched(const StoreAnswer& answer, Milliseconds now)
+StoreNews StoreReader::handleWatch(const StoreAnswer& answer, Milliseconds now)
 {
     if (!answer.items.empty())
         this->pausedUntil = now + this->options.watchGap;
--- a/Source/Store/StoreReader.h
+++ b/Source/Store/StoreReader.h
@@ -60,9 +60,9 @@
 
 private:
     StoreRequest newRequest(StoreOperation operation, Milliseconds now);
-    StoreNews failed(StoreStatus status, Milliseconds now);
-    StoreNews rangeRead(const StoreAnswer& answer, Milliseconds now);
-    StoreNews watched(const StoreAnswer& answer, Milliseconds now);
+    StoreNews handleFailure(StoreStatus status, Milliseconds now);
+    StoreNews handlePage(const StoreAnswer& answer, Milliseconds now);
+    StoreNews handleWatch(const StoreAnswer& answer, Milliseconds now);
     bool mustRead() const;
     /** The view is still empty: neither the store nor another instance has filled it. */
     bool isFirstReading() const { return !this->historyLost && !this->view->revision(); }
@@ -75,16 +75,16 @@
     StoreCallNumber pending = 0;
     StoreOperation pendingOperation = StoreOperation::ReadRange;
     Milliseconds sentAt = LongAgo;
-    Milliseconds readingSince = LongAgo; // when the first page was requested
+    Milliseconds readingStartedAt = LongAgo; // when the first page was requested
     Milliseconds pausedUntil = LongAgo;
-    Milliseconds readPatience; // timeout of the next reading
+    Milliseconds currentReadTimeout; // timeout of the next reading
     Milliseconds latency; // of the store's last answer, without the wait of a watch
-    bool hasBegun = false; // the time of the first reading has been chosen
+    bool hasStarted = false; // the time of the first reading has been chosen
     bool historyLost = false; // everything must be read before the next watch
     bool watching = false;
     std::vector<StoreItem> pages; // items read so far
     bool pagesMayBeStale = false;
-    StoreRevision pagesAt = 0; // up to which the pages together are complete
+    StoreRevision pagesRevision = 0; // up to which the pages together are complete
 };
 
 }
--- a/Source/Store/StoreView.cpp
+++ b/Source/Store/StoreView.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /** Enough for the removals of many minutes; an instance that is further behind is sent everything. */
-constexpr std::size_t RememberedRemovals = 1024;
+constexpr std::size_t MaximumRemovals = 1024;
 /**
  * Earlier large values kept for each key. Instances that are sent a change normally have one of the last two values;
  * the third is for those that missed an update.
@@ -17,7 +17,7 @@
 
 }
 
-bool StoreView::take(const StoreItem& item)
+bool StoreView::apply(const StoreItem& item)
 {
     const auto removal = std::find_if(this->removals.begin(), this->removals.end(),
         [&](const StoreItem& known) { return known.key == item.key && known.revision >= item.revision; });
@@ -28,7 +28,7 @@
     if (isThere && known->second.revision >= item.revision)
         return false;
     if (item.removed) {
-        this->remember(item);
+        this->rememberRemoval(item);
         if (isThere)
             this->items.erase(known);
         return isThere;
@@ -41,10 +41,10 @@
     return true;
 }
 
-void StoreView::remember(const StoreItem& removal)
+void StoreView::rememberRemoval(const StoreItem& removal)
 {
     this->removals.push_back(removal);
-    if (this->removals.size() <= RememberedRemovals)
+    if (this->removals.size() <= MaximumRemovals)
         return;
     this->changesKnownSince = std::max(this->changesKnownSince, this->removals.front().revision);
     this->removals.pop_front();
@@ -83,7 +83,7 @@
 {
     std::vector<StoreItem> news;
     for (const StoreItem& change : changes) {
-        if (this->take(change))
+        if (this->apply(change))
             news.push_back(change);
     }
     this->completeThrough = std::max(this->completeThrough, through);
@@ -103,11 +103,11 @@
         if (isMissing && item.revision <= at)
             changes.push_back({ .key = key, .value = {}, .revision = at, .removed = true });
     }
-    this->noteGap(at);
+    this->recordGap(at);
     return this->applyChanges(changes, at);
 }
 
-void StoreView::noteGap(StoreRevision through)
+void StoreView::recordGap(StoreRevision through)
 {
     if (through <= this->completeThrough)
         return;
--- a/Source/Store/StoreView.h
+++ b/Source/Store/StoreView.h
@@ -56,12 +56,12 @@
     std::size_t size() const { return this->items.size(); }
 
 private:
-    bool take(const StoreItem& item);
-    void remember(const StoreItem& removal);
+    bool apply(const StoreItem& item);
+    void rememberRemoval(const StoreItem& removal);
     /** Keeps a value that is about to be replaced, if it is large. */
     void keepEarlier(StoreItem item);
     /** Records that a reading skips to this revision: keys that were added and removed on the way are unknown. */
-    void noteGap(StoreRevision through);
+    void recordGap(StoreRevision through);
 
     std::map<std::string, StoreItem, std::less<>> items;
     std::deque<StoreItem> removals; // in order of arrival
--- a/Source/Store/ValuePacking.cpp
+++ b/Source/Store/ValuePacking.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 /** The fastest of zstd's levels 1 to 19. It compresses a document of 787 KB with 4,500 routes to 56 KB. */
-constexpr int PackingLevel = 1;
+constexpr int CompressionLevel = 1;
 /** The binary logarithm of the window size: 32 MB, enough for a value and its base. */
-constexpr int WindowPower = 25;
+constexpr int WindowLog = 25;
 
 using PackingContext = std::unique_ptr<ZSTD_CCtx, decltype(&ZSTD_freeCCtx)>;
 using UnpackingContext = std::unique_ptr<ZSTD_DCtx, decltype(&ZSTD_freeDCtx)>;
@@ -22,11 +22,11 @@
     const PackingContext context(ZSTD_createCCtx(), &ZSTD_freeCCtx);
     if (!context)
         return {};
-    ZSTD_CCtx_setParameter(context.get(), ZSTD_c_compressionLevel, PackingLevel);
+    ZSTD_CCtx_setParameter(context.get(), ZSTD_c_compressionLevel, CompressionLevel);
     // The checksum detects a wrong base.
     ZSTD_CCtx_setParameter(context.get(), ZSTD_c_checksumFlag, 1);
     if (!base.empty()) {
-        ZSTD_CCtx_setParameter(context.get(), ZSTD_c_windowLog, WindowPower);
+        ZSTD_CCtx_setParameter(context.get(), ZSTD_c_windowLog, WindowLog);
         ZSTD_CCtx_setParameter(context.get(), ZSTD_c_enableLongDistanceMatching, 1);
         ZSTD_CCtx_refPrefix(context.get(), base.data(), base.size());
     }
@@ -40,12 +40,12 @@
 
 std::optional<std::string> unpackValue(std::string_view packed, std::string_view base, std::size_t plainBytes)
 {
-    if (plainBytes > LongestPlainValue)
+    if (plainBytes > MaximumPlainValueBytes)
         return std::nullopt;
     const UnpackingContext context(ZSTD_createDCtx(), &ZSTD_freeDCtx);
     if (!context)
         return std::nullopt;
-    ZSTD_DCtx_setParameter(context.get(), ZSTD_d_windowLogMax, WindowPower);
+    ZSTD_DCtx_setParameter(context.get(), ZSTD_d_windowLogMax, WindowLog);
     if (!base.empty())
         ZSTD_DCtx_refPrefix(context.get(), base.data(), base.size());
     std::string value(plainBytes, '\0');
--- a/Source/Store/ValuePacking.h
+++ b/Source/Store/ValuePacking.h
@@ -8,7 +8,7 @@
 namespace burlreach {
 
 /** The largest value to decompress, several times the largest value that a store accepts. */
-inline constexpr std::size_t LongestPlainValue = 16777216;
+inline constexpr std::size_t MaximumPlainValueBytes = 16777216;
 
 /**
  * Compresses a value with an optional base as dictionary. Content shared with the base takes almost no space: a
--- a/Tests/Membership/AskingTurnsTest.cpp
+++ b/Tests/Membership/AskingTurnsTest.cpp
@@ -22,14 +22,14 @@
 constexpr std::size_t Watchers = 3;
 constexpr int Fleets = 300;
 /** The share of fleets in which no instance may have asked in time: the turns depend on the names, drawn at random. */
-constexpr double MostLate = 0.02;
+constexpr double MaximumLateShare = 0.02;
 /** A change must be in force within this time. */
 constexpr Milliseconds InForceWithin{ 2000 };
 /** The time that a change takes from the first instance that asks the store to all others. */
-constexpr Milliseconds OnItsWay{ 100 };
+constexpr Milliseconds PropagationTime{ 100 };
 constexpr Milliseconds Step{ 10 };
 /** How often watchers without answers of the store send an update. */
-constexpr Milliseconds StillAsking{ 1300 };
+constexpr Milliseconds UpdateInterval{ 1300 };
 
 peers::Member member(const std::string& name)
 {
@@ -52,7 +52,7 @@
     for (std::size_t instance = 0; instance < instances; ++instance)
         fleet.names.push_back("entry-" + std::to_string(random.below(1000000)));
     // WatchDuty::watchers() returns those of the lowest rank.
-    WatchDuty onlooker({ .ownName = "onlooker", .wanted = Watchers });
+    WatchDuty onlooker({ .ownName = "onlooker", .wantedWatchers = Watchers });
     for (const std::string& name : fleet.names)
         onlooker.heardWatcher(member(name), { 0 }, { 0 });
     for (const peers::Member& watcher : onlooker.watchers({ 0 }))
@@ -66,11 +66,11 @@
     std::vector<WatchDuty> others;
     for (const std::string& name : fleet.names) {
         if (std::find(fleet.watchers.begin(), fleet.watchers.end(), name) == fleet.watchers.end())
-            others.emplace_back(WatchDuty::Options{ .ownName = name, .ownCapacity = 20, .wanted = Watchers });
+            others.emplace_back(WatchDuty::Options{ .ownName = name, .ownCapacity = 20, .wantedWatchers = Watchers });
     }
     for (Milliseconds now{ 0 };; now = now + Step) {
         for (WatchDuty& other : others) {
-            const bool isTelling = std::fmod(now.count, StillAsking.count) < Step.count;
+            const bool isTelling = std::fmod(now.count, UpdateInterval.count) < Step.count;
             for (const std::string& watcher : fleet.watchers) {
                 if (isTelling)
                     other.heardWatcher(member(watcher), { 0 }, now);
@@ -86,7 +86,7 @@
     Random random(instances);
     int late = 0;
     for (int count = 0; count < Fleets; ++count)
-        late += firstAskedAfter(draw(instances, random)) > InForceWithin - OnItsWay ? 1 : 0;
+        late += firstAskedAfter(draw(instances, random)) > InForceWithin - PropagationTime ? 1 : 0;
     return static_cast<double>(late) / Fleets;
 }
 
@@ -97,5 +97,5 @@
 TEST(AskingTurns, AnotherInstanceAsksInTimeWhenOnlyTheWatchersAreRefused)
 {
     for (const std::size_t instances : { 13, 17, 18, 40, 95, 473 })
-        CHECK_TEXT(lateShare(instances) <= MostLate, (std::to_string(instances) + " instances").c_str());
+        CHECK_TEXT(lateShare(instances) <= MaximumLateShare, (std::to_string(instances) + " instances").c_str());
 }
--- a/Tests/Membership/MemberTableTest.cpp
+++ b/Tests/Membership/MemberTableTest.cpp
@@ -22,13 +22,13 @@
 }
 
 /** Collects the receivers of a message that every receiver forwards, and the most copies that one of them sends. */
-void reach(const std::vector<NewsBranch>& branches, std::size_t mostBranches, std::multiset<NetworkAddress>& reached,
-    std::size_t& mostSent)
+void collectReceivers(const std::vector<NewsBranch>& branches, std::size_t mostBranches,
+    std::multiset<NetworkAddress>& reached, std::size_t& mostSent)
 {
     mostSent = std::max(mostSent, branches.size());
     for (const NewsBranch& branch : branches) {
         reached.insert(branch.receiver);
-        reach(branchesOf(branch.relayTo, mostBranches), mostBranches, reached, mostSent);
+        collectReceivers(branchesOf(branch.relayTo, mostBranches), mostBranches, reached, mostSent);
     }
 }
 
@@ -53,7 +53,7 @@
     return members;
 }
 
-constexpr Milliseconds HeardJustNow{ 1100 };
+constexpr Milliseconds ShortlyAfterMessages{ 1100 };
 
 }
 
@@ -73,7 +73,7 @@
 
 TEST(MemberTable, RemovesMembersWithoutRecentMessages)
 {
-    MemberTable table({ .forgottenAfter = { 100 } });
+    MemberTable table({ .expireAfter = { 100 } });
     table.heard(member("a", 1), 1, { 0 });
     table.heard(member("b", 1), 1, { 90 });
     table.tick({ 120 });
@@ -87,11 +87,12 @@
         const NewsTreeOptions options{ .origin = "entry-x", .dataCentre = "dc-0" };
         std::size_t mostSent = 0;
         std::multiset<NetworkAddress> reached;
-        reach(firstBranches(membersOf(shape), options, HeardJustNow), options.mostBranches, reached, mostSent);
+        collectReceivers(
+            firstBranches(membersOf(shape), options, ShortlyAfterMessages), options.mostBranches, reached, mostSent);
         LONGS_EQUAL(shape.instances, reached.size());
         const std::set<NetworkAddress> distinct(reached.begin(), reached.end());
         LONGS_EQUAL_TEXT(shape.instances, distinct.size(), "no member receives an update twice");
-        CHECK(mostSent <= options.mostBranches + options.headsElsewhere * (shape.dataCentres - 1));
+        CHECK(mostSent <= options.mostBranches + options.branchesElsewhere * (shape.dataCentres - 1));
     }
 }
 
@@ -100,7 +101,7 @@
     const auto members = membersOf({ 141, 4 });
     std::size_t across = 0;
     for (const NewsBranch& branch :
-        firstBranches(members, { .origin = "entry-x", .dataCentre = "dc-0" }, HeardJustNow)) {
+        firstBranches(members, { .origin = "entry-x", .dataCentre = "dc-0" }, ShortlyAfterMessages)) {
         const auto place = [&](const NetworkAddress& address) { return (address.port - 1000U) % 4; };
         across += place(branch.receiver) != 0 ? 1 : 0;
         for (const NetworkAddress& relayed : branch.relayTo)
@@ -116,7 +117,7 @@
         members[index].heardAt = { -2000 };
     members[20].member.set_capacity(50);
     for (const std::string origin : { "entry-x", "entry-y" }) {
-        const auto branches = firstBranches(members, { .origin = origin, .dataCentre = "dc-0" }, HeardJustNow);
+        const auto branches = firstBranches(members, { .origin = origin, .dataCentre = "dc-0" }, ShortlyAfterMessages);
         LONGS_EQUAL(8, branches.size());
         LONGS_EQUAL_TEXT(1020, branches.front().receiver.port, "the member with the most capacity is first");
         for (const NewsBranch& branch : branches)
--- a/Tests/Quotas/CustomerCreditTest.cpp
+++ b/Tests/Quotas/CustomerCreditTest.cpp
@@ -22,7 +22,7 @@
 
 constexpr QuotaBound Bound{ .window = { 5000 }, .overage = 0.1, .slack = 20 };
 constexpr Milliseconds Step{ 5 };
-constexpr Milliseconds ToPeer{ 2 };
+constexpr Milliseconds PeerDelay{ 2 };
 
 double boundOf(const CustomerLimit& limit)
 {
@@ -44,9 +44,9 @@
 };
 
 /** Sends one customer's requests through a fleet whose granting instance may change. */
-class Customers {
+class CustomerSimulation {
 public:
-    explicit Customers(const Case& given)
+    explicit CustomerSimulation(const Case& given)
         : item(given)
         , grantors(2, CreditGrants(Bound))
     {
@@ -65,8 +65,8 @@
     {
         const Milliseconds end = this->now + span;
         for (; this->now < end; this->now = this->now + Step) {
-            this->owed += this->item.sentPerSecond * (Step / Second);
-            for (; this->owed >= 1; this->owed -= 1)
+            this->unsent += this->item.sentPerSecond * (Step / Second);
+            for (; this->unsent >= 1; this->unsent -= 1)
                 this->send();
             for (std::size_t index = 0; index < this->desks.size(); ++index)
                 this->ask(index);
@@ -136,7 +136,7 @@
             if (answer.isGranting)
                 answer.grant
                     = this->grantors[grantor].grant(this->customer, ask.requests, this->modes[grantor], this->now);
-            for (const CreditDesk::Settled& settled : this->desks[index]->answered(answer, this->now + ToPeer)) {
+            for (const CreditDesk::Settled& settled : this->desks[index]->answered(answer, this->now + PeerDelay)) {
                 if (settled.decision.outcome == CreditDecision::Outcome::Granted)
                     this->granted.push_back(this->now);
             }
@@ -151,7 +151,7 @@
     std::array<GrantMode, 2> modes{ GrantMode::Full, GrantMode::None };
     Customer customer;
     Milliseconds now{ 1000 };
-    double owed = 0;
+    double unsent = 0;
     RequestNumber last = 0;
 };
 
@@ -188,7 +188,7 @@
 TEST(CustomerCredit, NoWindowHoldsMoreThanTheBoundHoweverMuchIsSent)
 {
     for (const Case& item : cases(8)) {
-        Customers customers(item);
+        CustomerSimulation customers(item);
         customers.run({ 15000 });
         const std::string text = textOf(item) + ", window " + std::to_string(customers.mostInWindow());
         CHECK_TEXT(customers.mostInWindow() <= boundOf(item.limit), text.c_str());
@@ -201,7 +201,7 @@
 TEST(CustomerCredit, WhoStaysBelowTheLimitIsNotRefused)
 {
     for (const Case& item : cases(1 / 1.6)) {
-        Customers customers(item);
+        CustomerSimulation customers(item);
         customers.run({ 15000 });
         const double share = static_cast<double>(customers.granted.size()) / static_cast<double>(customers.sent);
         CHECK_TEXT(share >= 0.99, (textOf(item) + ", share " + std::to_string(share)).c_str());
@@ -211,7 +211,7 @@
 TEST(CustomerCredit, TheBoundHoldsWhileOneInstanceFollowsAnother)
 {
     for (const Case& item : cases(8)) {
-        Customers customers(item);
+        CustomerSimulation customers(item);
         customers.run({ 6000 });
         customers.setModes(GrantMode::Half, GrantMode::Half);
         customers.run({ 4000 });
@@ -225,7 +225,7 @@
 TEST(CustomerCredit, WithoutAGrantingInstanceEachRequestIsRefusedAtOnceOrUsesWhatWasDealt)
 {
     const Case item{ .name = "", .instances = 40, .limit = Small, .sentPerSecond = 64, .spread = Spread::Everywhere };
-    Customers customers(item);
+    CustomerSimulation customers(item);
     customers.setModes(GrantMode::None, GrantMode::None);
     customers.run({ 15000 });
     CHECK(!customers.granted.empty());
--- a/Tests/Quotas/GrantorTenureTest.cpp
+++ b/Tests/Quotas/GrantorTenureTest.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 constexpr Milliseconds Step{ 10 };
-constexpr Milliseconds QuietWatch{ 1200 };
+constexpr Milliseconds WatchWait{ 1200 };
 
 /** An instance with its copy of the stored item. */
 struct Instance {
@@ -32,10 +32,10 @@
     std::optional<StoreItem> view;
     Milliseconds watchedAt = LongAgo;
     bool leads = false;
-    bool isStill = false;
+    bool isSuspended = false;
     bool reachesStore = true;
-    std::optional<StoreRequest> held; // a write that the store has not yet handled
-    Milliseconds heldUntil;
+    std::optional<StoreRequest> pendingWrite; // a write that the store has not yet handled
+    Milliseconds pendingUntil;
 
     void start(const std::string& name, std::uint64_t life, std::uint32_t port)
     {
@@ -51,18 +51,18 @@
 };
 
 /** Simulates several instances and a store in fixed time steps. */
-class Tenures {
+class TenureSimulation {
 public:
-    explicit Tenures(std::size_t count)
+    explicit TenureSimulation(std::size_t count)
         : instances(count)
     {
         for (std::size_t index = 0; index < count; ++index)
-            this->startAnew(index);
+            this->restart(index);
         this->lead(0);
     }
 
     Instance& at(std::size_t index) { return this->instances[index]; }
-    void startAnew(std::size_t index)
+    void restart(std::size_t index)
     {
         this->instances[index].start(
             "entry-" + std::to_string(index), ++this->lives[index], static_cast<std::uint32_t>(7000 + index));
@@ -77,8 +77,8 @@
         const Milliseconds end = this->now + span;
         for (; this->now < end; this->now = this->now + Step) {
             for (Instance& each : this->instances) {
-                if (each.tenure && !each.isStill)
-                    this->turn(each);
+                if (each.tenure && !each.isSuspended)
+                    this->runInstance(each);
             }
             this->check();
         }
@@ -87,7 +87,7 @@
     double share() { return this->sum(); }
     /** How long after its sending each write takes effect and is answered. */
     Milliseconds writeDelay{ 10 };
-    bool losesAnswers = false;
+    bool loseAnswers = false;
     double largest = 0;
 
 private:
@@ -97,21 +97,21 @@
         double sum = 0;
         for (const Instance& each : this->instances) {
             // A suspended instance grants nothing until it runs again.
-            const GrantMode mode = each.isStill ? GrantMode::None : this->mode(each);
+            const GrantMode mode = each.isSuspended ? GrantMode::None : this->mode(each);
             sum += mode == GrantMode::Full ? 1 : mode == GrantMode::Half ? 0.5 : 0;
         }
         return sum;
     }
     void check() { this->largest = std::max(this->largest, this->sum()); }
-    void turn(Instance& each)
+    void runInstance(Instance& each)
     {
-        if (each.reachesStore && this->now - each.watchedAt >= QuietWatch)
+        if (each.reachesStore && this->now - each.watchedAt >= WatchWait)
             this->watch(each);
-        if (each.held && this->now >= each.heldUntil)
-            this->finish(each);
+        if (each.pendingWrite && this->now >= each.pendingUntil)
+            this->finishWrite(each);
         const auto heard = [this](const std::string& name) -> std::optional<GrantorTenure::Heard> {
             for (const Instance& other : this->instances) {
-                if (other.tenure && !other.isStill && other.self.incarnation().name() == name)
+                if (other.tenure && !other.isSuspended && other.self.incarnation().name() == name)
                     return GrantorTenure::Heard{ .member = other.self, .at = this->now };
             }
             return std::nullopt;
@@ -122,18 +122,18 @@
         if (!call)
             return;
         if (call->operation == StoreOperation::ReadRange)
-            return this->prove(each, *call);
-        each.held = std::move(call);
-        each.heldUntil = this->now + this->writeDelay;
+            return this->answerRead(each, *call);
+        each.pendingWrite = std::move(call);
+        each.pendingUntil = this->now + this->writeDelay;
     }
-    /** A watch without changes ends and the next one begins; finish() delivers changes at once. */
+    /** A watch without changes ends and the next one begins; finishWrite() delivers changes at once. */
     void watch(Instance& each)
     {
         each.watchedAt = this->now;
         if (this->stored)
             each.view = this->stored;
     }
-    void prove(Instance& each, const StoreRequest& request)
+    void answerRead(Instance& each, const StoreRequest& request)
     {
         StoreAnswer answer;
         answer.number = request.number;
@@ -143,18 +143,18 @@
         }
         each.tenure->answered(answer, this->now);
     }
-    void finish(Instance& each)
+    void finishWrite(Instance& each)
     {
-        const StoreRequest request = *std::exchange(each.held, std::nullopt);
+        const StoreRequest request = *std::exchange(each.pendingWrite, std::nullopt);
         StoreAnswer answer;
         answer.number = request.number;
         const StoreRevision present = this->stored ? this->stored->revision : 0;
         if (each.reachesStore && present == request.expected) {
             this->stored = StoreItem{ .key = request.key, .value = request.value, .revision = ++this->revision };
-            answer.status = this->losesAnswers ? StoreStatus::Unknown : StoreStatus::Done;
+            answer.status = this->loseAnswers ? StoreStatus::Unknown : StoreStatus::Done;
             answer.at = this->revision;
             for (Instance& other : this->instances) {
-                if (other.reachesStore && !other.isStill)
+                if (other.reachesStore && !other.isSuspended)
                     other.view = this->stored;
             }
         } else
@@ -173,60 +173,61 @@
 
 struct Case {
     const char* name;
-    std::function<void(Tenures&)> trouble;
-    Milliseconds halfAgain; // after this, at least half is granted again
+    std::function<void(TenureSimulation&)> injectFault;
+    Milliseconds recoveryTime; // after this, at least half is granted again
 };
 
 const std::vector<Case> Cases{
-    { "nothing", [](Tenures&) {}, { 0 } },
-    { "another instance leads", [](Tenures& all) { all.lead(1); }, { 4200 } },
+    { "nothing", [](TenureSimulation&) {}, { 0 } },
+    { "another instance leads", [](TenureSimulation& all) { all.lead(1); }, { 4200 } },
     { "the granting instance is killed",
-        [](Tenures& all) {
+        [](TenureSimulation& all) {
             all.at(0).tenure.reset();
             all.lead(1);
         },
         { 1500 } },
-    { "it is killed and restarted", [](Tenures& all) { all.startAnew(0); }, { 1500 } },
+    { "it is killed and restarted", [](TenureSimulation& all) { all.restart(0); }, { 1500 } },
     { "it is killed and restarted, and another instance leads",
-        [](Tenures& all) {
-            all.startAnew(0);
+        [](TenureSimulation& all) {
+            all.restart(0);
             all.lead(1);
         },
         { 1500 } },
     { "it is suspended",
-        [](Tenures& all) {
-            all.at(0).isStill = true;
+        [](TenureSimulation& all) {
+            all.at(0).isSuspended = true;
             all.lead(1);
         },
         { 1500 } },
     { "it loses the store, and another instance leads",
-        [](Tenures& all) {
+        [](TenureSimulation& all) {
             all.at(0).reachesStore = false;
             all.at(1).leads = true;
         },
         { 100 } },
-    { "two instances lead without knowing of each other", [](Tenures& all) { all.at(1).leads = true; }, { 100 } },
+    { "two instances lead without knowing of each other", [](TenureSimulation& all) { all.at(1).leads = true; },
+        { 100 } },
     { "all are killed and restarted",
-        [](Tenures& all) {
-            all.startAnew(0);
-            all.startAnew(1);
-            all.startAnew(2);
+        [](TenureSimulation& all) {
+            all.restart(0);
+            all.restart(1);
+            all.restart(2);
         },
         { 1500 } },
     { "no instance reaches the store",
-        [](Tenures& all) {
+        [](TenureSimulation& all) {
             for (std::size_t index = 0; index < 3; ++index)
                 all.at(index).reachesStore = false;
         },
         { 100 } },
     { "answers of the store are lost, and another instance leads",
-        [](Tenures& all) {
-            all.losesAnswers = true;
+        [](TenureSimulation& all) {
+            all.loseAnswers = true;
             all.lead(1);
         },
         { 7000 } },
     { "writes take effect seconds later, and another instance leads",
-        [](Tenures& all) {
+        [](TenureSimulation& all) {
             all.writeDelay = { 1400 };
             all.lead(1);
         },
@@ -240,23 +241,23 @@
 TEST(GrantorTenure, NeverMoreThanTheWholeIsGrantedByAllTogether)
 {
     for (const Case& item : Cases) {
-        Tenures all(3);
+        TenureSimulation all(3);
         all.run({ 5000 });
         CHECK_TEXT(all.modeOf(0) == GrantMode::Full, item.name);
-        item.trouble(all);
-        all.run(item.halfAgain);
+        item.injectFault(all);
+        all.run(item.recoveryTime);
         all.run({ 500 });
         CHECK_TEXT(all.share() >= 0.5, item.name);
         all.run({ 8000 });
         // All faults end.
         for (std::size_t index = 0; index < 3; ++index) {
-            all.at(index).isStill = false;
+            all.at(index).isSuspended = false;
             all.at(index).reachesStore = true;
             if (!all.at(index).tenure)
-                all.startAnew(index);
+                all.restart(index);
         }
         all.lead(0);
-        all.losesAnswers = false;
+        all.loseAnswers = false;
         all.writeDelay = { 10 };
         all.run({ 20000 });
         CHECK_TEXT(all.largest <= 1, item.name);
--- a/Tests/Rollouts/PageTestTest.cpp
+++ b/Tests/Rollouts/CusumDetectorTest.cpp
@@ -33,9 +33,9 @@
 
 }
 
-TEST_GROUP(PageTest){};
+TEST_GROUP(CusumDetector){};
 
-TEST(PageTest, FindsAWorseVersionSoonAndAGoodOneNever)
+TEST(CusumDetector, FindsAWorseVersionSoonAndAGoodOneNever)
 {
     constexpr unsigned runs = 60;
     constexpr unsigned longest = 6000;
@@ -43,7 +43,7 @@
         unsigned late = 0;
         for (unsigned run = 0; run < runs; ++run) {
             Random random(run + 1);
-            PageTest test;
+            CusumDetector test;
             unsigned count = 0;
             while (count < longest && !test.isBad()) {
                 const double share = count < item.goodBefore ? item.usualShare : item.targetShare;
@@ -58,7 +58,7 @@
     }
 }
 
-TEST(PageTest, CountsRepeatedAndReorderedReportsOnce)
+TEST(CusumDetector, CountsRepeatedAndReorderedReportsOnce)
 {
     FleetEvidence evidence;
     const auto counts = [](std::uint64_t all, std::uint64_t bad) {
@@ -77,7 +77,7 @@
     CHECK(evidence.isBad());
 }
 
-TEST(PageTest, AVersionThatIsBadOnOneRouteIsNotHiddenByTheOthers)
+TEST(CusumDetector, AVersionThatIsBadOnOneRouteIsNotHiddenByTheOthers)
 {
     FleetEvidence evidence;
     CountsByRoute counts;
@@ -89,7 +89,7 @@
     CHECK(evidence.isBad());
 }
 
-TEST(PageTest, APlanMovesOnlyWithServersAndEndsOnlyWithNothingLeft)
+TEST(CusumDetector, APlanMovesOnlyWithServersAndEndsOnlyWithNothingLeft)
 {
     RolloutState state{ .targetVersion = "v2", .order = 1 };
     RolloutProgress progress{ .duration = { 12000 }, .targetAnswers = 100, .allAnswers = 4000 };
--- a/Tests/Store/ValuePackingTest.cpp
+++ b/Tests/Store/ValuePackingTest.cpp
@@ -62,7 +62,7 @@
     CHECK_FALSE(unpackValue(packed, "", Changed.size()).has_value());
     CHECK_FALSE(unpackValue(packed, Document, Changed.size() - 1).has_value());
     CHECK_FALSE(unpackValue(packed, Document, Changed.size() + 1).has_value());
-    CHECK_FALSE(unpackValue(packed, Document, LongestPlainValue + 1).has_value());
+    CHECK_FALSE(unpackValue(packed, Document, MaximumPlainValueBytes + 1).has_value());
 }
 
 TEST(ValuePacking, DamagedBytesNeverResultInAnotherValue)
--- a/Tests/Timers/TimerTest.cpp
+++ b/Tests/Timers/TimerTest.cpp
@@ -39,10 +39,10 @@
 using SuspendedTimer = asio::basic_waitable_timer<SuspendedClock, ShortWaits<SuspendedClock>>;
 
 constexpr std::chrono::milliseconds Due{ 2000 };
-constexpr std::chrono::milliseconds Before{ 50 };
+constexpr std::chrono::milliseconds BeforeSuspension{ 50 };
 constexpr int SuspendedMilliseconds = 5000;
 /** How late the timer may fire: one short wait, plus the delay on a busy system. */
-constexpr std::chrono::milliseconds LatestAfter{ 1000 };
+constexpr std::chrono::milliseconds MaximumDelay{ 1000 };
 
 }
 
@@ -57,12 +57,12 @@
     bool hasEnded = false;
     timer.expires_after(Due);
     timer.async_wait([&](const asio::error_code& error) { hasEnded = !error; });
-    context.run_for(Before);
+    context.run_for(BeforeSuspension);
     CHECK(!hasEnded);
     SuspendedClock::suspended = SuspendedMilliseconds;
     context.run();
     CHECK(hasEnded);
-    CHECK(RealTime::now() - begun < Before + LatestAfter);
+    CHECK(RealTime::now() - begun < BeforeSuspension + MaximumDelay);
 }
 
 TEST(Timer, DoesNotFireEarly)
