--- a/Source/Base/ChronoDuration.cpp
+++ b/Source/Base/ChronoDuration.cpp
@@ -5,10 +5,11 @@
 
 namespace burlreach {
 
-std::chrono::microseconds toDuration(Milliseconds span)
+std::chrono::microseconds toDuration(Milliseconds duration)
 {
     constexpr double microsecondsPerMillisecond = 1000;
-    return std::chrono::microseconds(static_cast<std::int64_t>(std::max(1.0, span.count * microsecondsPerMillisecond)));
+    return std::chrono::microseconds(
+        static_cast<std::int64_t>(std::max(1.0, duration.count * microsecondsPerMillisecond)));
 }
 
 }
--- a/Source/Base/ChronoDuration.h
+++ b/Source/Base/ChronoDuration.h
@@ -7,6 +7,6 @@
 namespace burlreach {
 
 /** Converts to the duration type of the standard library; at least one microsecond. */
-std::chrono::microseconds toDuration(Milliseconds span);
+std::chrono::microseconds toDuration(Milliseconds duration);
 
 }
--- a/Source/Configuration/ChangeApplier.cpp
+++ b/Source/Configuration/ChangeApplier.cpp
@@ -67,21 +67,21 @@
 {
     switch (request.change_case()) {
     case v1::ChangeRequest::kCreateService:
-        return this->create(request.create_service());
+        return this->createService(request.create_service());
     case v1::ChangeRequest::kChangeHosts:
         return this->changeHosts(request.change_hosts());
     case v1::ChangeRequest::kRemoveService:
         return this->remove(request.remove_service());
     case v1::ChangeRequest::kNameBackendServer:
-        return this->name(request.name_backend_server());
+        return this->nameBackendServer(request.name_backend_server());
     case v1::ChangeRequest::kDrainBackendServer:
-        return this->drain(request.drain_backend_server());
+        return this->drainBackendServer(request.drain_backend_server());
     case v1::ChangeRequest::kRemoveBackendServer:
         return this->remove(request.remove_backend_server());
     case v1::ChangeRequest::kSetRequestRule:
-        return this->setRule(request.set_request_rule());
+        return this->setRequestRule(request.set_request_rule());
     case v1::ChangeRequest::kRemoveRequestRule:
-        return this->removeRule(request.remove_request_rule());
+        return this->removeRequestRule(request.remove_request_rule());
     case v1::ChangeRequest::kSetLimits:
         return this->setLimits(request.set_limits());
     case v1::ChangeRequest::kEmptyDataCentre:
@@ -123,7 +123,7 @@
     return nullptr;
 }
 
-void ChangeApplier::create(const v1::CreateService& change)
+void ChangeApplier::createService(const v1::CreateService& change)
 {
     *this->result.configuration.add_services() = change.service();
 }
@@ -142,7 +142,7 @@
     services.erase(findNamed(services, change.service()));
 }
 
-void ChangeApplier::name(const v1::NameBackendServer& change)
+void ChangeApplier::nameBackendServer(const v1::NameBackendServer& change)
 {
     v1::Service* service = this->findService(change.service());
     if (!service)
@@ -155,7 +155,7 @@
         *found = change.backend_server();
 }
 
-void ChangeApplier::drain(const v1::DrainBackendServer& change)
+void ChangeApplier::drainBackendServer(const v1::DrainBackendServer& change)
 {
     v1::Service* service = this->findService(change.service());
     if (!service)
@@ -173,7 +173,7 @@
     servers.erase(findNamed(servers, change.backend_server()));
 }
 
-void ChangeApplier::setRule(const v1::SetRequestRule& change)
+void ChangeApplier::setRequestRule(const v1::SetRequestRule& change)
 {
     v1::Service* service = this->findService(change.service());
     if (!service)
@@ -185,7 +185,7 @@
         *found = change.rule();
 }
 
-void ChangeApplier::removeRule(const v1::RemoveRequestRule& change)
+void ChangeApplier::removeRequestRule(const v1::RemoveRequestRule& change)
 {
     v1::Service* service = this->findService(change.service());
     if (!service)
--- a/Source/Configuration/ChangeApplier.h
+++ b/Source/Configuration/ChangeApplier.h
@@ -20,14 +20,14 @@
 
 private:
     void applyKind(const v1::ChangeRequest& request);
-    void create(const v1::CreateService& change);
+    void createService(const v1::CreateService& change);
     void changeHosts(const v1::ChangeHosts& change);
     void remove(const v1::RemoveService& change);
-    void name(const v1::NameBackendServer& change);
-    void drain(const v1::DrainBackendServer& change);
+    void nameBackendServer(const v1::NameBackendServer& change);
+    void drainBackendServer(const v1::DrainBackendServer& change);
     void remove(const v1::RemoveBackendServer& change);
-    void setRule(const v1::SetRequestRule& change);
-    void removeRule(const v1::RemoveRequestRule& change);
+    void setRequestRule(const v1::SetRequestRule& change);
+    void removeRequestRule(const v1::RemoveRequestRule& change);
     void setLimits(const v1::SetLimits& change);
     void emptyDataCentre(const v1::EmptyDataCentre& change);
     void setCustomer(const v1::SetCustomer& change);
--- a/Source/Membership/ContactBook.cpp
+++ b/Source/Membership/ContactBook.cpp
@@ -16,7 +16,7 @@
         return;
     std::erase(this->addresses, address);
     this->addresses.push_back(address);
-    if (this->addresses.size() > this->options.most)
+    if (this->addresses.size() > this->options.maximumAddresses)
         this->addresses.pop_front();
 }
 
--- a/Source/Membership/ContactBook.h
+++ b/Source/Membership/ContactBook.h
@@ -14,7 +14,7 @@
 public:
     struct Options {
         NetworkAddress own; // the address of this instance, which is never added
-        std::size_t most = 24; // addresses
+        std::size_t maximumAddresses = 24; // capacity
     };
 
     explicit ContactBook(Options options);
--- a/Source/Membership/WatchDuty.cpp
+++ b/Source/Membership/WatchDuty.cpp
@@ -116,8 +116,8 @@
 std::size_t WatchDuty::countComparableWatchers(Milliseconds now) const
 {
     return static_cast<std::size_t>(std::count_if(this->known.begin(), this->known.end(), [&](const Watcher& watcher) {
-        const bool hasDuty = this->isActive(watcher, now) || this->isCalling(watcher, now);
-        return watcher.rank.invertedCapacity <= this->ownRank.invertedCapacity && hasDuty;
+        const bool isWatcher = this->isActive(watcher, now) || this->isCalling(watcher, now);
+        return watcher.rank.invertedCapacity <= this->ownRank.invertedCapacity && isWatcher;
     }));
 }
 
@@ -179,11 +179,11 @@
         this->vacantSince = Never;
     else if (this->vacantSince == Never)
         this->vacantSince = now;
-    const bool volunteers = isVacant && now >= this->vacantSince + this->volunteerDelay();
+    const bool shouldVolunteer = isVacant && now >= this->vacantSince + this->volunteerDelay();
     if (this->isStale(confirmedAt, now))
-        return this->shouldCallStore(isWatching, instances, now) || volunteers;
+        return this->shouldCallStore(isWatching, instances, now) || shouldVolunteer;
     this->nextTurn = Never;
-    return isWatching ? this->countActiveBelow(now) < this->options.wantedWatchers : volunteers;
+    return isWatching ? this->countActiveBelow(now) < this->options.wantedWatchers : shouldVolunteer;
 }
 
 Milliseconds WatchDuty::nextChange(Milliseconds confirmedAt) const
@@ -203,9 +203,9 @@
 {
     const Watcher* first = nullptr;
     for (const Watcher& watcher : this->known) {
-        const bool isHeard = now - watcher.updatedAt <= this->options.firstExpireAfter;
-        const bool goesBefore = !isWatching || watcher.rank < this->ownRank;
-        if (isHeard && goesBefore && (!first || watcher.rank < first->rank))
+        const bool isRecent = now - watcher.updatedAt <= this->options.firstExpireAfter;
+        const bool hasLowerRank = !isWatching || watcher.rank < this->ownRank;
+        if (isRecent && hasLowerRank && (!first || watcher.rank < first->rank))
             first = &watcher;
     }
     return first ? std::optional(first->member) : std::nullopt;
@@ -229,18 +229,18 @@
 {
     std::vector<peers::Member> found;
     Rank last{ .invertedCapacity = ~0U, .hash = ~0ULL };
-    std::size_t heard = 0;
-    std::size_t unheard = 0;
+    std::size_t activeCount = 0;
+    std::size_t otherCount = 0;
     for (const Watcher* watcher : this->ranked(now)) {
-        const bool isHeard = this->isActive(*watcher, now);
-        std::size_t& count = isHeard ? heard : unheard;
+        const bool isActiveWatcher = this->isActive(*watcher, now);
+        std::size_t& count = isActiveWatcher ? activeCount : otherCount;
         // A watcher that only others named gets a hello if its rank is lower than that of the worst selected reporting
         // watcher, or if there are too few of those.
         if (count >= this->options.wantedWatchers
-            || (!isHeard && heard >= this->options.wantedWatchers && last < watcher->rank))
+            || (!isActiveWatcher && activeCount >= this->options.wantedWatchers && last < watcher->rank))
             continue;
         ++count;
-        last = isHeard ? watcher->rank : last;
+        last = isActiveWatcher ? watcher->rank : last;
         found.push_back(watcher->member);
     }
     return found;
@@ -250,8 +250,8 @@
 {
     std::vector<peers::Member> found;
     for (const Watcher* watcher : this->ranked(now)) {
-        const bool isHeard = this->isActive(*watcher, now) || this->isCalling(*watcher, now);
-        if (found.size() < this->options.wantedWatchers && isHeard)
+        const bool isReporting = this->isActive(*watcher, now) || this->isCalling(*watcher, now);
+        if (found.size() < this->options.wantedWatchers && isReporting)
             found.push_back(watcher->member);
     }
     return found;
--- a/Source/Quotas/CreditDesk.cpp
+++ b/Source/Quotas/CreditDesk.cpp
@@ -20,25 +20,26 @@
 CreditDecision CreditDesk::refusal(CreditDecision::Outcome outcome, Milliseconds wait)
 {
     // Up to twice the wait, at random: otherwise all refused callers would retry at once for the same credit.
-    const Milliseconds comeBack = std::max(MinimumRetryDelay, wait) * (1 + this->random->unit());
-    return { .outcome = outcome, .grantedAt = {}, .comeBackAfter = comeBack };
+    const Milliseconds retryDelay = std::max(MinimumRetryDelay, wait) * (1 + this->random->unit());
+    return { .outcome = outcome, .grantedAt = {}, .comeBackAfter = retryDelay };
 }
 
 std::optional<Milliseconds> CreditDesk::takeLocal(const Customer& customer, Milliseconds now)
 {
-    std::deque<Milliseconds>& unused = this->accounts[customer.name].unusedCredits;
-    while (!unused.empty() && now - unused.front() >= CreditLife)
-        unused.pop_front();
-    if (!unused.empty()) {
-        const Milliseconds grantedAt = unused.front();
-        unused.pop_front();
+    std::deque<Milliseconds>& unusedTimes = this->accounts[customer.name].unusedCredits;
+    while (!unusedTimes.empty() && now - unusedTimes.front() >= CreditLife)
+        unusedTimes.pop_front();
+    if (!unusedTimes.empty()) {
+        const Milliseconds grantedAt = unusedTimes.front();
+        unusedTimes.pop_front();
         return grantedAt;
     }
     if (!this->instances)
         return std::nullopt;
     const QuotaPlan plan(customer.limit, this->options.bound);
-    const auto all = static_cast<double>(std::max<std::size_t>(*this->instances, 1));
-    const DealtBudget::Part part{ .perSecond = plan.usableWithoutGrantPerSecond() / all, .window = LocalBudgetWindow };
+    const auto instanceCount = static_cast<double>(std::max<std::size_t>(*this->instances, 1));
+    const DealtBudget::Part part{ .perSecond = plan.usableWithoutGrantPerSecond() / instanceCount,
+        .window = LocalBudgetWindow };
     return this->localBudget.take(customer.name, part, *this->random, now) ? std::optional(now) : std::nullopt;
 }
 
@@ -131,7 +132,7 @@
     // The exact time of the grant is unknown. Taking the time when the query was sent, the earliest possible, makes
     // the credit expire early rather than late.
     const Milliseconds grantedAt = account.answerDeadline - this->options.answerTimeout;
-    const std::size_t asked = account.queriedRequests;
+    const std::size_t queried = account.queriedRequests;
     account.pendingQuery = 0;
     account.unansweredQueries = 0;
     account.answerDeadline = Never;
@@ -144,7 +145,7 @@
     }
     for (; left; --left)
         this->giveBack(answer.customer, grantedAt, now);
-    if (answer.grant.amount >= asked)
+    if (answer.grant.amount >= queried)
         return settled;
     account.exhaustedUntil = now + answer.grant.wait;
     while (!account.waiting.empty())
@@ -154,16 +155,16 @@
 
 std::vector<CreditDesk::Settled> CreditDesk::tick(Milliseconds now)
 {
-    bool isSilent = false;
+    bool isUnresponsive = false;
     for (const std::string& customer : this->activeCustomers) {
         Account& account = this->accounts[customer];
         if (now < account.answerDeadline)
             continue;
         account.answerDeadline = Never;
         account.pendingQuery = 0;
-        isSilent = isSilent || ++account.unansweredQueries >= this->options.maximumQueries;
+        isUnresponsive = isUnresponsive || ++account.unansweredQueries >= this->options.maximumQueries;
     }
-    return isSilent ? this->nobodyGrants(now) : std::vector<Settled>();
+    return isUnresponsive ? this->nobodyGrants(now) : std::vector<Settled>();
 }
 
 Milliseconds CreditDesk::nextDue() const
--- a/Source/Quotas/GrantorTenure.cpp
+++ b/Source/Quotas/GrantorTenure.cpp
@@ -94,9 +94,9 @@
     return now < this->fullFrom || age > this->options.fullFor ? GrantMode::Half : GrantMode::Full;
 }
 
-GrantorTenure::Predecessor GrantorTenure::evaluatePredecessor(const Inputs& around, Milliseconds now) const
+GrantorTenure::Predecessor GrantorTenure::evaluatePredecessor(const Inputs& inputs, Milliseconds now) const
 {
-    if (!around.stored)
+    if (!inputs.stored)
         return Predecessor::None;
     if (!this->holderRecord)
         return Predecessor::Uncertain; // the item was removed, or an instance did not write it
@@ -104,24 +104,24 @@
         return Predecessor::Gone;
     const peers::Member& member = this->holderRecord->member();
     if (member.incarnation().name() != this->options.self.incarnation().name())
-        return this->evaluateOtherInstance(around, now);
+        return this->evaluateOtherInstance(inputs, now);
     // An earlier run of this instance. If this process now listens at its address, that run has ended.
     return isSameAddress(member, this->options.self) ? Predecessor::Gone : Predecessor::Uncertain;
 }
 
-GrantorTenure::Predecessor GrantorTenure::evaluateOtherInstance(const Inputs& around, Milliseconds now) const
+GrantorTenure::Predecessor GrantorTenure::evaluateOtherInstance(const Inputs& inputs, Milliseconds now) const
 {
     const peers::Member& member = this->holderRecord->member();
-    const auto heard = around.heard(member.incarnation().name());
+    const auto heard = inputs.heard(member.incarnation().name());
     const bool isLaterLife = heard && heard->member.incarnation().number() > member.incarnation().number()
         && isSameAddress(heard->member, member);
     if (isLaterLife)
         return Predecessor::Gone;
-    const bool isAlive = heard && now - heard->at < this->options.lostAfter && !around.isSilent;
+    const bool isAlive = heard && now - heard->at < this->options.lostAfter && !inputs.isSilent;
     // An instance that has only just started to watch has not received messages from all others yet, and an instance
     // that is not the leading watcher receives them from few.
     const Milliseconds since = std::max(this->holderSince, this->watchingSince);
-    const bool isLost = !isAlive && (heard || around.leads) && now - since > this->options.lostAfter;
+    const bool isLost = !isAlive && (heard || inputs.leads) && now - since > this->options.lostAfter;
     return isLost ? Predecessor::Uncertain : Predecessor::Present;
 }
 
@@ -156,42 +156,42 @@
     return request;
 }
 
-std::optional<StoreRequest> GrantorTenure::renewOrRelease(const Inputs& around, Milliseconds now)
+std::optional<StoreRequest> GrantorTenure::renewOrRelease(const Inputs& inputs, Milliseconds now)
 {
-    if (!around.isNeeded && !this->pendingWrite && now >= this->pausedUntil) {
+    if (!inputs.isNeeded && !this->pendingWrite && now >= this->pausedUntil) {
         this->hasStopped = true;
-        return this->write(around.stored, true, now);
+        return this->write(inputs.stored, true, now);
     }
     const bool isDue = !this->pendingConfirmation && now >= this->nextConfirmation;
-    auto proof = isDue ? std::optional(this->requestConfirmation(now)) : std::nullopt;
+    auto confirmation = isDue ? std::optional(this->requestConfirmation(now)) : std::nullopt;
     // While a call is under way, its answer leads to the next check.
     this->nextCheck = this->pendingConfirmation ? Never : this->nextConfirmation;
-    return proof;
+    return confirmation;
 }
 
-std::optional<StoreRequest> GrantorTenure::acquire(const Inputs& around, Milliseconds now)
+std::optional<StoreRequest> GrantorTenure::acquire(const Inputs& inputs, Milliseconds now)
 {
-    if (!around.isNeeded || !around.isWatching || this->pendingWrite || now < this->pausedUntil)
+    if (!inputs.isNeeded || !inputs.isWatching || this->pendingWrite || now < this->pausedUntil)
         return std::nullopt;
-    const Predecessor found = this->evaluatePredecessor(around, now);
-    const bool isOthersTurn = !around.leads
-        && (found == Predecessor::None
-            || (found == Predecessor::Gone && now - this->holderSince < this->options.leaderFirst));
-    if (found == Predecessor::Present || isOthersTurn) {
+    const Predecessor predecessor = this->evaluatePredecessor(inputs, now);
+    const bool leaderGoesFirst = !inputs.leads
+        && (predecessor == Predecessor::None
+            || (predecessor == Predecessor::Gone && now - this->holderSince < this->options.leaderFirst));
+    if (predecessor == Predecessor::Present || leaderGoesFirst) {
         this->nextCheck = now + CheckInterval;
         return std::nullopt;
     }
-    this->replacedPredecessor = found;
-    return this->write(around.stored, false, now);
+    this->replacedPredecessor = predecessor;
+    return this->write(inputs.stored, false, now);
 }
 
-std::optional<StoreRequest> GrantorTenure::next(const Inputs& around, Milliseconds now)
+std::optional<StoreRequest> GrantorTenure::next(const Inputs& inputs, Milliseconds now)
 {
-    this->updateHolder(around.stored, now);
-    if (!around.isWatching)
+    this->updateHolder(inputs.stored, now);
+    if (!inputs.isWatching)
         this->watchingSince = now;
     this->nextCheck = this->pausedUntil > now ? this->pausedUntil : Never;
-    return this->isHolder() && !this->hasStopped ? this->renewOrRelease(around, now) : this->acquire(around, now);
+    return this->isHolder() && !this->hasStopped ? this->renewOrRelease(inputs, now) : this->acquire(inputs, now);
 }
 
 void GrantorTenure::handleConfirmation(const StoreAnswer& answer)
@@ -199,8 +199,8 @@
     this->pendingConfirmation = 0;
     if (answer.status != StoreStatus::Done)
         return;
-    const bool isNamedThere = answer.items.size() == 1 && answer.items.front().revision == this->holderRevision;
-    if (isNamedThere)
+    const bool isStillHolder = answer.items.size() == 1 && answer.items.front().revision == this->holderRevision;
+    if (isStillHolder)
         this->confirmedAt = std::max(this->confirmedAt, this->confirmationSentAt);
     else
         this->hasStopped = true; // another instance is the holder; the watch will deliver the new item
--- a/Source/Quotas/GrantorTenure.h
+++ b/Source/Quotas/GrantorTenure.h
@@ -71,7 +71,7 @@
     GrantorTenure(Options options, StoreCallNumbers& numbers, Random& random);
 
     /** Evaluates the present state; returns the next call to the store, if one is due. */
-    std::optional<StoreRequest> next(const Inputs& around, Milliseconds now);
+    std::optional<StoreRequest> next(const Inputs& inputs, Milliseconds now);
     /** True when the answer belonged to a call of this object. */
     bool answered(const StoreAnswer& answer, Milliseconds now);
     /** The item that this instance wrote, if a write was acknowledged since the last call of this function. */
@@ -101,12 +101,12 @@
     void updateHolder(const StoreItem* stored, Milliseconds now);
     void startHolding(Milliseconds now);
     bool isHolder() const;
-    Predecessor evaluatePredecessor(const Inputs& around, Milliseconds now) const;
-    Predecessor evaluateOtherInstance(const Inputs& around, Milliseconds now) const;
+    Predecessor evaluatePredecessor(const Inputs& inputs, Milliseconds now) const;
+    Predecessor evaluateOtherInstance(const Inputs& inputs, Milliseconds now) const;
     /** As the holder: the next call to confirm the role, or to release it when it is no longer needed. */
-    std::optional<StoreRequest> renewOrRelease(const Inputs& around, Milliseconds now);
+    std::optional<StoreRequest> renewOrRelease(const Inputs& inputs, Milliseconds now);
     /** When not the holder: the write that takes the role, if it is free or the holder is lost. */
-    std::optional<StoreRequest> acquire(const Inputs& around, Milliseconds now);
+    std::optional<StoreRequest> acquire(const Inputs& inputs, Milliseconds now);
     StoreRequest write(const StoreItem* stored, bool isReleased, Milliseconds now);
     StoreRequest requestConfirmation(Milliseconds now);
     void handleConfirmation(const StoreAnswer& answer);
--- a/Source/Quotas/QuotaPlan.cpp
+++ b/Source/Quotas/QuotaPlan.cpp
@@ -24,8 +24,8 @@
 
 double QuotaPlan::margin() const
 {
-    const double within = this->limit.requestsPerSecond * (this->bound.window / Second) + this->limit.burst;
-    return within * this->bound.overage + this->bound.slack;
+    const double allowed = this->limit.requestsPerSecond * (this->bound.window / Second) + this->limit.burst;
+    return allowed * this->bound.overage + this->bound.slack;
 }
 
 double QuotaPlan::grantBurst() const
--- a/Source/Quotas/TokenBucket.cpp
+++ b/Source/Quotas/TokenBucket.cpp
@@ -5,19 +5,19 @@
 
 namespace burlreach {
 
-TokenBucket::TokenBucket(double givenSaved, Milliseconds now)
-    : tokens(givenSaved)
+TokenBucket::TokenBucket(double givenTokens, Milliseconds now)
+    : tokens(givenTokens)
     , filledAt(now)
 {
 }
 
 unsigned TokenBucket::take(unsigned wanted, const Rate& rate, Milliseconds now)
 {
-    const Milliseconds span = std::max(Milliseconds{}, now - this->filledAt);
+    const Milliseconds elapsed = std::max(Milliseconds{}, now - this->filledAt);
     this->filledAt = std::max(this->filledAt, now);
-    this->tokens = std::min(rate.capacity, this->tokens + rate.perSecond * (span / Second));
-    const double whole = std::min(static_cast<double>(wanted), std::floor(this->tokens));
-    const auto taken = static_cast<unsigned>(std::max(0.0, whole));
+    this->tokens = std::min(rate.capacity, this->tokens + rate.perSecond * (elapsed / Second));
+    const double available = std::min(static_cast<double>(wanted), std::floor(this->tokens));
+    const auto taken = static_cast<unsigned>(std::max(0.0, available));
     this->tokens -= taken;
     return taken;
 }
--- a/Source/Quotas/TokenBucket.h
+++ b/Source/Quotas/TokenBucket.h
@@ -12,7 +12,7 @@
         double capacity = 0; // capacity of the bucket, in requests
     };
 
-    TokenBucket(double saved, Milliseconds now);
+    TokenBucket(double tokens, Milliseconds now);
 
     /** Adds the credit accrued since the last call, then takes credit for up to `wanted` requests; returns how many. */
     unsigned take(unsigned wanted, const Rate& rate, Milliseconds now);
--- a/Source/Rollouts/CusumDetector.cpp
+++ b/Source/Rollouts/CusumDetector.cpp
@@ -28,12 +28,13 @@
         return;
     const double good = std::clamp(usualShare * GoodFactor, MinimumGoodShare, HighestShare - DetectedIncrease);
     const double bad = std::max(good + DetectedIncrease, std::min(HighestShare, usualShare * GoodFactor * 2));
-    const double ofBad = std::log(bad / good);
-    const double ofGood = std::log((1 - bad) / (1 - good));
+    const double logRatioOfBad = std::log(bad / good);
+    const double logRatioOfGood = std::log((1 - bad) / (1 - good));
     const auto badAnswers = static_cast<double>(answers.bad);
     const double goodAnswers = static_cast<double>(answers.all) - badAnswers;
-    this->sum = std::max(0.0, this->sum + badAnswers * ofBad + goodAnswers * ofGood);
-    this->hasDetected = this->hasDetected || this->sum > Threshold;
+    this->logLikelihoodRatio
+        = std::max(0.0, this->logLikelihoodRatio + badAnswers * logRatioOfBad + goodAnswers * logRatioOfGood);
+    this->hasDetected = this->hasDetected || this->logLikelihoodRatio > Threshold;
 }
 
 }
--- a/Source/Rollouts/CusumDetector.h
+++ b/Source/Rollouts/CusumDetector.h
@@ -16,7 +16,7 @@
     bool isBad() const { return this->hasDetected; }
 
 private:
-    double sum = 0;
+    double logLikelihoodRatio = 0;
     bool hasDetected = false;
 };
 
--- a/Source/Rollouts/FleetEvidence.cpp
+++ b/Source/Rollouts/FleetEvidence.cpp
@@ -21,9 +21,9 @@
 
 void FleetEvidence::told(const std::string& instance, std::uint64_t life, const CountsByRoute& counts)
 {
-    CountsByRoute& before = this->byInstance[{ instance, life }];
+    CountsByRoute& lastReport = this->byInstance[{ instance, life }];
     for (const auto& [route, now] : counts) {
-        VersionCounts& known = before[route];
+        VersionCounts& known = lastReport[route];
         // An older report that arrived after a newer one.
         if (hasDecreased(now, known))
             continue;
@@ -32,13 +32,13 @@
     }
 }
 
-void FleetEvidence::add(const std::string& route, const VersionCounts& more)
+void FleetEvidence::add(const std::string& route, const VersionCounts& increase)
 {
-    Route& one = this->routes[route];
-    one.sum = one.sum + more;
-    this->sum = this->sum + more;
-    one.test.add(more.target, shareOfBad(one.sum.usual));
-    this->test.add(more.target, shareOfBad(this->sum.usual));
+    Route& evidence = this->routes[route];
+    evidence.sum = evidence.sum + increase;
+    this->totalCounts = this->totalCounts + increase;
+    evidence.test.add(increase.target, shareOfBad(evidence.sum.usual));
+    this->test.add(increase.target, shareOfBad(this->totalCounts.usual));
 }
 
 bool FleetEvidence::isBad() const
--- a/Source/Rollouts/FleetEvidence.h
+++ b/Source/Rollouts/FleetEvidence.h
@@ -23,7 +23,7 @@
     /** Takes a report of one life of an instance: its totals so far. Reports older than the last are ignored. */
     void told(const std::string& instance, std::uint64_t life, const CountsByRoute& counts);
     bool isBad() const;
-    const VersionCounts& total() const { return this->sum; }
+    const VersionCounts& total() const { return this->totalCounts; }
 
 private:
     struct Route {
@@ -35,7 +35,7 @@
 
     std::map<std::pair<std::string, std::uint64_t>, CountsByRoute> byInstance; // last totals, by name and life
     std::map<std::string, Route> routes; // by name
-    VersionCounts sum;
+    VersionCounts totalCounts;
     CusumDetector test;
 };
 
--- a/Source/Rollouts/RolloutPlan.cpp
+++ b/Source/Rollouts/RolloutPlan.cpp
@@ -51,10 +51,10 @@
 
 double shareFor(const RolloutProgress& progress)
 {
-    const double at = progress.elapsed / progress.duration;
+    const double timeShare = progress.elapsed / progress.duration;
     double share = firstShare(progress);
     for (const Step& step : Steps) {
-        if (at >= step.from)
+        if (timeShare >= step.from)
             share = std::max(share, step.share);
     }
     return share;
@@ -62,12 +62,12 @@
 
 bool shouldMove(const RolloutProgress& progress)
 {
-    const double at = progress.elapsed / progress.duration;
+    const double timeShare = progress.elapsed / progress.duration;
     const bool isReady = progress.capacity >= EnoughCapacity && progress.targetAnswers >= EnoughAnswers;
-    return progress.capacity > 0 && ((at >= MoveFrom && isReady) || at >= MoveDeadline);
+    return progress.capacity > 0 && ((timeShare >= MoveFrom && isReady) || timeShare >= MoveDeadline);
 }
 
-RolloutState with(RolloutState state, RolloutPhase phase, double share, Milliseconds elapsed)
+RolloutState withPhase(RolloutState state, RolloutPhase phase, double share, Milliseconds elapsed)
 {
     state.phase = phase;
     state.share = share;
@@ -83,21 +83,22 @@
     if (state.isOver())
         return std::nullopt;
     if (progress.isBad)
-        return with(state, RolloutPhase::RolledBack, 0, now);
+        return withPhase(state, RolloutPhase::RolledBack, 0, now);
     if (state.phase == RolloutPhase::Moved) {
         const bool isWatched = now - state.elapsed >= progress.duration * ObservationShare;
         const bool isDone = progress.isOldIdle && isWatched;
-        return isDone ? std::optional(with(state, RolloutPhase::Completed, 1, now)) : std::nullopt;
+        return isDone ? std::optional(withPhase(state, RolloutPhase::Completed, 1, now)) : std::nullopt;
     }
     if (shouldMove(progress))
-        return with(state, RolloutPhase::Moved, 1, now);
+        return withPhase(state, RolloutPhase::Moved, 1, now);
     // Without servers of the new version there is nothing to send requests to.
     const double share = progress.capacity > 0 ? shareFor(progress) : 0;
     constexpr double worthAChange = 1.3;
     const bool isLarger = share > state.share * worthAChange;
-    const bool isOld = now - state.elapsed > progress.duration * RewriteInterval;
-    const double kept = isLarger ? share : state.share;
-    return isLarger || isOld ? std::optional(with(state, RolloutPhase::Trying, kept, now)) : std::nullopt;
+    const bool mustRewrite = now - state.elapsed > progress.duration * RewriteInterval;
+    const double nextShare = isLarger ? share : state.share;
+    return isLarger || mustRewrite ? std::optional(withPhase(state, RolloutPhase::Trying, nextShare, now))
+                                   : std::nullopt;
 }
 
 }
--- a/Source/Store/StoreReader.cpp
+++ b/Source/Store/StoreReader.cpp
@@ -88,9 +88,9 @@
     if (status == StoreStatus::Unknown)
         this->currentReadTimeout = std::min(this->currentReadTimeout * 2, this->options.longestReadTimeout);
     this->pausedUntil = now + this->backoff.next(*this->random);
-    StoreNews news;
-    news.isFailure = true;
-    return news;
+    StoreNews update;
+    update.isFailure = true;
+    return update;
 }
 
 StoreNews StoreReader::handlePage(const StoreAnswer& answer, Milliseconds now)
@@ -101,14 +101,14 @@
     this->pages.insert(this->pages.end(), answer.items.begin(), answer.items.end());
     if (answer.more && !answer.items.empty())
         return {};
-    StoreNews news;
-    news.changes = this->view->replaceAll(this->pages, this->pagesRevision);
-    news.isConfirmed = !this->pagesMayBeStale;
-    news.isStaleReading = this->pagesMayBeStale;
-    news.confirmedAt = this->readingStartedAt;
+    StoreNews update;
+    update.changes = this->view->replaceAll(this->pages, this->pagesRevision);
+    update.isConfirmed = !this->pagesMayBeStale;
+    update.isStaleReading = this->pagesMayBeStale;
+    update.confirmedAt = this->readingStartedAt;
     this->pages.clear();
     this->historyLost = false;
-    return news;
+    return update;
 }
 
 StoreNews StoreReader::handleWatch(const StoreAnswer& answer, Milliseconds now)
@@ -117,11 +117,11 @@
         this->pausedUntil = now + this->options.watchGap;
     else
         this->latency = std::max(Milliseconds{}, now - this->sentAt - this->options.watchWait);
-    StoreNews news;
-    news.changes = this->view->applyChanges(answer.items, answer.at);
-    news.isConfirmed = true;
-    news.confirmedAt = std::max(this->sentAt, now - this->latency);
-    return news;
+    StoreNews update;
+    update.changes = this->view->applyChanges(answer.items, answer.at);
+    update.isConfirmed = true;
+    update.confirmedAt = std::max(this->sentAt, now - this->latency);
+    return update;
 }
 
 }
--- a/Source/Store/StoreView.cpp
+++ b/Source/Store/StoreView.cpp
@@ -81,13 +81,13 @@
 
 std::vector<StoreItem> StoreView::applyChanges(std::span<const StoreItem> changes, StoreRevision through)
 {
-    std::vector<StoreItem> news;
+    std::vector<StoreItem> applied;
     for (const StoreItem& change : changes) {
         if (this->apply(change))
-            news.push_back(change);
+            applied.push_back(change);
     }
     this->completeThrough = std::max(this->completeThrough, through);
-    return news;
+    return applied;
 }
 
 std::vector<StoreItem> StoreView::replaceAll(std::span<const StoreItem> all, StoreRevision at)
--- a/Tests/Membership/MemberTableTest.cpp
+++ b/Tests/Membership/MemberTableTest.cpp
@@ -136,7 +136,7 @@
 TEST(MemberTable, ContactsAreTheNewestAddressesWithoutTheOwn)
 {
     const NetworkAddress own{ .host = "10.0.0.1", .port = 1 };
-    ContactBook book({ .own = own, .most = 3 });
+    ContactBook book({ .own = own, .maximumAddresses = 3 });
     Random random(2);
     for (std::uint16_t port = 1; port <= 6; ++port)
         book.learn({ .host = "10.0.0.1", .port = port });
