--- a/Source/Membership/ContactBook.h
+++ b/Source/Membership/ContactBook.h
@@ -14,7 +14,7 @@
 public:
     struct Options {
         NetworkAddress own; // the address of this instance, which is never added
-        std::size_t maximumAddresses = 24; // capacity
+        std::size_t maximumAddresses = 24;
     };
 
     explicit ContactBook(Options options);
--- a/Tests/Customers/CustomerTableTest.cpp
+++ b/Tests/Customers/CustomerTableTest.cpp
@@ -54,7 +54,7 @@
     CHECK_FALSE(CustomerTable().hasCustomers());
 }
 
-TEST(CustomerTable, FindsAmongHundredThousandKeys)
+TEST(CustomerTable, FindsOneOfAHundredThousandKeys)
 {
     std::vector<Customer> customers;
     customers.reserve(4000);
--- a/Tests/Membership/WatchDutyTest.cpp
+++ b/Tests/Membership/WatchDutyTest.cpp
@@ -147,12 +147,12 @@
 TEST(WatchDuty, NamesToOthersOnlyWatchersThatSentUpdatesThemselves)
 {
     WatchDuty duty({ .ownName = "entry-1" });
-    duty.heardWatcher(member("heard"), { 900 }, { 1000 });
-    duty.toldOfWatcher(member("told"), { 1000 });
+    duty.heardWatcher(member("reporting"), { 900 }, { 1000 });
+    duty.toldOfWatcher(member("named"), { 1000 });
     LONGS_EQUAL_TEXT(2, duty.watchers({ 1000 }).size(), "both may send updates");
     LONGS_EQUAL(1, duty.heardWatchers({ 1000 }).size());
     // Other instances still name the watcher, but it sends no updates itself.
-    duty.toldOfWatcher(member("heard"), { 5000 });
+    duty.toldOfWatcher(member("reporting"), { 5000 });
     CHECK(duty.heardWatchers({ 5000 }).empty());
 }
 
--- a/Tests/Quotas/CustomerCreditTest.cpp
+++ b/Tests/Quotas/CustomerCreditTest.cpp
@@ -185,7 +185,7 @@
 
 TEST_GROUP(CustomerCredit){};
 
-TEST(CustomerCredit, NoWindowHoldsMoreThanTheBoundHoweverMuchIsSent)
+TEST(CustomerCredit, NoWindowExceedsTheBoundUnderOverload)
 {
     for (const Case& item : cases(8)) {
         CustomerSimulation customers(item);
@@ -198,7 +198,7 @@
     }
 }
 
-TEST(CustomerCredit, WhoStaysBelowTheLimitIsNotRefused)
+TEST(CustomerCredit, ACustomerBelowItsLimitIsNotRefused)
 {
     for (const Case& item : cases(1 / 1.6)) {
         CustomerSimulation customers(item);
@@ -208,7 +208,7 @@
     }
 }
 
-TEST(CustomerCredit, TheBoundHoldsWhileOneInstanceFollowsAnother)
+TEST(CustomerCredit, TheBoundHoldsDuringAChangeOfTheGrantingInstance)
 {
     for (const Case& item : cases(8)) {
         CustomerSimulation customers(item);
@@ -222,7 +222,7 @@
     }
 }
 
-TEST(CustomerCredit, WithoutAGrantingInstanceEachRequestIsRefusedAtOnceOrUsesWhatWasDealt)
+TEST(CustomerCredit, WithoutAGrantingInstanceRequestsUseLocalCreditOnly)
 {
     const Case item{ .name = "", .instances = 40, .limit = Small, .sentPerSecond = 64, .spread = Spread::Everywhere };
     CustomerSimulation customers(item);
@@ -232,7 +232,7 @@
     CHECK(customers.mostInWindow() <= boundOf(item.limit));
 }
 
-TEST(CustomerCredit, CreditThatWasNotUsedServesTheNextRequestAndIsGoneSoon)
+TEST(CustomerCredit, UnusedCreditServesTheNextRequestUntilItExpires)
 {
     Random random(3);
     CreditDesk desk({ .bound = Bound }, random);
@@ -251,7 +251,7 @@
     CHECK(desk.request(3, customer, Milliseconds{ 100 } + CreditLife).outcome == CreditDecision::Outcome::Awaited);
 }
 
-TEST(CustomerCredit, ASilentGrantingInstanceIsAskedTwiceAndThenLeftAloneForAWhile)
+TEST(CustomerCredit, PausesAfterTwoQueriesWithoutAnAnswer)
 {
     Random random(3);
     CreditDesk desk({ .bound = Bound }, random);
--- a/Tests/Quotas/GrantorTenureTest.cpp
+++ b/Tests/Quotas/GrantorTenureTest.cpp
@@ -238,7 +238,7 @@
 
 TEST_GROUP(GrantorTenure){};
 
-TEST(GrantorTenure, NeverMoreThanTheWholeIsGrantedByAllTogether)
+TEST(GrantorTenure, AllInstancesTogetherNeverGrantMoreThanTheLimit)
 {
     for (const Case& item : Cases) {
         TenureSimulation all(3);
@@ -265,7 +265,7 @@
     }
 }
 
-TEST(GrantorTenure, NothingIsWrittenWhereNobodyNeedsCredit)
+TEST(GrantorTenure, WritesNothingWhenNoCreditIsNeeded)
 {
     StoreCallNumbers numbers;
     Random random(1);
--- a/Tests/Rollouts/CusumDetectorTest.cpp
+++ b/Tests/Rollouts/CusumDetectorTest.cpp
@@ -35,7 +35,7 @@
 
 TEST_GROUP(CusumDetector){};
 
-TEST(CusumDetector, FindsAWorseVersionSoonAndAGoodOneNever)
+TEST(CusumDetector, DetectsAWorseVersionSoonAndAcceptsAGoodOne)
 {
     constexpr unsigned runs = 60;
     constexpr unsigned longest = 6000;
@@ -77,7 +77,7 @@
     CHECK(evidence.isBad());
 }
 
-TEST(CusumDetector, AVersionThatIsBadOnOneRouteIsNotHiddenByTheOthers)
+TEST(CusumDetector, DetectsAVersionThatIsBadOnOneRouteOnly)
 {
     FleetEvidence evidence;
     CountsByRoute counts;
@@ -89,7 +89,7 @@
     CHECK(evidence.isBad());
 }
 
-TEST(CusumDetector, APlanMovesOnlyWithServersAndEndsOnlyWithNothingLeft)
+TEST(CusumDetector, MovesOnlyWithCapacityAndCompletesOnlyWhenTheOldVersionIsIdle)
 {
     RolloutState state{ .targetVersion = "v2", .order = 1 };
     RolloutProgress progress{ .duration = { 12000 }, .targetAnswers = 100, .allAnswers = 4000 };
