--- a/Source/Timers/Timer.h
+++ b/Source/Timers/Timer.h
@@ -11,8 +11,8 @@
  * Makes asio wait for a short time only before it checks the clock again.
  *
  * The timers of the operating system stop while the system is suspended. A timeout of two seconds would fire up to two
- * seconds late after a suspension; with this it fires at most 250 ms late. The cost is at most four wake-ups a second
- * in each of two threads.
+ * seconds late after a suspension, and nothing could be scheduled before it; with this it fires at most 250 ms late.
+ * The cost is at most four wake-ups a second in each of two threads.
  */
 template <typename Clock>
 struct ShortWaits {
