--- a/Source/Configuration/ChangeApplier.cpp
+++ b/Source/Configuration/ChangeApplier.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/** More than a day of changes at the size that docs/CAPACITY.md plans for. */
-constexpr int RememberedChanges = 400;
+/** More than a day of changes at the fleet size that docs/CAPACITY.md plans for. */
+constexpr int MaximumRecentChanges = 400;
 constexpr std::size_t MaximumChangeIdLength = 100;
 
 template <typename List>
@@ -46,7 +46,7 @@
     this->result = { .configuration = base, .findings = {} };
     if (request.change_id().empty() || request.change_id().size() > MaximumChangeIdLength)
         this->result.findings.add("/change_id",
-            "is empty or longer than 100 characters; give each change an id of its own and keep it for repeats");
+            "is empty or longer than 100 characters; give each change a unique id and keep it when you send it again");
     this->applyKind(request);
     v1::Configuration& changed = this->result.configuration;
     changed.set_revision(base.revision() + 1);
@@ -54,8 +54,8 @@
     applied->set_change_id(request.change_id());
     applied->set_revision(changed.revision());
     applied->set_accepted_by(std::string(acceptedBy));
-    if (changed.recent_changes_size() > RememberedChanges)
-        changed.mutable_recent_changes()->DeleteSubrange(0, changed.recent_changes_size() - RememberedChanges);
+    if (changed.recent_changes_size() > MaximumRecentChanges)
+        changed.mutable_recent_changes()->DeleteSubrange(0, changed.recent_changes_size() - MaximumRecentChanges);
     if (!this->result.findings.empty())
         return this->result;
     ConfigurationChecker checker;
@@ -67,21 +67,21 @@
 {
     switch (request.change_case()) {
     case v1::ChangeRequest::kCreateService:
-        return this->create(request.create_service());
+        return this->createService(request.create_service());
     case v1::ChangeRequest::kChangeHosts:
         return this->changeHosts(request.change_hosts());
     case v1::ChangeRequest::kRemoveService:
         return this->remove(request.remove_service());
     case v1::ChangeRequest::kNameBackendServer:
-        return this->name(request.name_backend_server());
+        return this->nameBackendServer(request.name_backend_server());
     case v1::ChangeRequest::kDrainBackendServer:
-        return this->drain(request.drain_backend_server());
+        return this->drainBackendServer(request.drain_backend_server());
     case v1::ChangeRequest::kRemoveBackendServer:
         return this->remove(request.remove_backend_server());
     case v1::ChangeRequest::kSetRequestRule:
-        return this->setRule(request.set_request_rule());
+        return this->setRequestRule(request.set_request_rule());
     case v1::ChangeRequest::kRemoveRequestRule:
-        return this->removeRule(request.remove_request_rule());
+        return this->removeRequestRule(request.remove_request_rule());
     case v1::ChangeRequest::kSetLimits:
         return this->setLimits(request.set_limits());
     case v1::ChangeRequest::kEmptyDataCentre:
@@ -97,7 +97,7 @@
     case v1::ChangeRequest::CHANGE_NOT_SET:
         break;
     }
-    this->result.findings.add("/change", "is not set; name one change, such as create_service");
+    this->result.findings.add("/change", "is not set; set one change, such as create_service");
 }
 
 v1::Service* ChangeApplier::findService(const std::string& name)
@@ -107,7 +107,7 @@
     if (found != services.end())
         return &*found;
     this->result.findings.add(
-        "/service", "there is no service \"" + name + "\"; see the list of services or create it first");
+        "/service", "there is no service \"" + name + "\"; look it up in the list of services or create it first");
     return nullptr;
 }
 
@@ -118,11 +118,12 @@
     if (found != servers.end())
         return &*found;
     this->result.findings.add("/backend_server",
-        "there is no backend server \"" + name + "\" in \"" + service.name() + "\"; see the service or name it first");
+        "there is no backend server \"" + name + "\" in \"" + service.name()
+            + "\"; look it up in the service or add it first");
     return nullptr;
 }
 
-void ChangeApplier::create(const v1::CreateService& change)
+void ChangeApplier::createService(const v1::CreateService& change)
 {
     *this->result.configuration.add_services() = change.service();
 }
@@ -141,7 +142,7 @@
     services.erase(findNamed(services, change.service()));
 }
 
-void ChangeApplier::name(const v1::NameBackendServer& change)
+void ChangeApplier::nameBackendServer(const v1::NameBackendServer& change)
 {
     v1::Service* service = this->findService(change.service());
     if (!service)
@@ -154,7 +155,7 @@
         *found = change.backend_server();
 }
 
-void ChangeApplier::drain(const v1::DrainBackendServer& change)
+void ChangeApplier::drainBackendServer(const v1::DrainBackendServer& change)
 {
     v1::Service* service = this->findService(change.service());
     if (!service)
@@ -172,7 +173,7 @@
     servers.erase(findNamed(servers, change.backend_server()));
 }
 
-void ChangeApplier::setRule(const v1::SetRequestRule& change)
+void ChangeApplier::setRequestRule(const v1::SetRequestRule& change)
 {
     v1::Service* service = this->findService(change.service());
     if (!service)
@@ -184,7 +185,7 @@
         *found = change.rule();
 }
 
-void ChangeApplier::removeRule(const v1::RemoveRequestRule& change)
+void ChangeApplier::removeRequestRule(const v1::RemoveRequestRule& change)
 {
     v1::Service* service = this->findService(change.service());
     if (!service)
@@ -193,7 +194,7 @@
     if (found == service->mutable_rules()->end())
         this->result.findings.add("/path_prefix",
             "there is no rule for \"" + change.method() + "\" and \"" + change.path_prefix()
-                + "\"; see the service for its rules");
+                + "\"; look the rules up in the service");
     else
         service->mutable_rules()->erase(found);
 }
@@ -216,7 +217,7 @@
     const auto found = std::find(emptied.begin(), emptied.end(), name);
     if (change.emptied() && !isKnown)
         this->result.findings.add("/data_centre",
-            "no backend server stands in \"" + name + "\"; write the data centre as the backend servers name it");
+            "no backend server is in \"" + name + "\"; write the data centre as in the records of the backend servers");
     else if (change.emptied() && found == emptied.end())
         *emptied.Add() = name;
     else if (!change.emptied() && found != emptied.end())
@@ -238,8 +239,7 @@
     auto& customers = *this->result.configuration.mutable_customers();
     const auto found = findNamed(customers, change.customer());
     if (found == customers.end())
-        this->result.findings.add(
-            "/customer", "there is no customer \"" + change.customer() + "\"; write the name as it was set");
+        this->result.findings.add("/customer", "there is no customer \"" + change.customer() + "\"; check the name");
     else
         customers.erase(found);
 }
@@ -249,14 +249,16 @@
     if (!this->findService(change.rollout().service()))
         return;
     if (change.rollout().new_version().empty())
-        this->result.findings.add("/rollout/new_version", "is empty; write the version as its backend servers name it");
+        this->result.findings.add(
+            "/rollout/new_version", "is empty; write the version as in the records of its backend servers");
     if (!change.rollout().duration_milliseconds())
-        this->result.findings.add("/rollout/duration_milliseconds", "is 0; write by when it should be done");
+        this->result.findings.add(
+            "/rollout/duration_milliseconds", "is 0; write in how many milliseconds the roll-out should complete");
     auto& rollouts = *this->result.configuration.mutable_rollouts();
     const auto found = findRollout(rollouts, change.rollout().service());
     v1::Rollout& rollout = found == rollouts.end() ? *rollouts.Add() : *found;
     rollout = change.rollout();
-    // The revision of this change, so that a second order for the same version is another one.
+    // The revision of this change distinguishes it from an earlier order for the same version.
     rollout.set_begun_at_revision(this->result.configuration.revision() + 1);
 }
 
@@ -265,7 +267,8 @@
     auto& rollouts = *this->result.configuration.mutable_rollouts();
     const auto found = findRollout(rollouts, change.service());
     if (found == rollouts.end())
-        this->result.findings.add("/service", "there is no roll-out of \"" + change.service() + "\"; see the service");
+        this->result.findings.add(
+            "/service", "there is no roll-out of \"" + change.service() + "\"; look it up in the service");
     else
         rollouts.erase(found);
 }
--- a/Source/Configuration/OwnFactTranslator.cpp
+++ b/Source/Configuration/OwnFactTranslator.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 constexpr const char* OwnProbePath = "/burlreach/load";
-constexpr double UsualProbeBudget = 180; // milliseconds a second: 30 probes of 6 ms
+constexpr double DefaultProbeBudget = 180; // milliseconds of probe time per second: 30 probes of 6 ms
 constexpr double Hundred = 100;
 constexpr std::uint32_t RankFirst = 0;
 constexpr std::uint32_t RankCanWait = 1;
-constexpr Milliseconds UsualDeadline{ 10000 };
+constexpr Milliseconds DefaultDeadline{ 10000 };
 
 std::uint32_t rankOf(v1::Priority priority)
 {
@@ -23,10 +23,10 @@
 Milliseconds deadlineOf(const v1::Service& service)
 {
     const auto given = service.limits().deadline_milliseconds();
-    return given ? Milliseconds{ static_cast<double>(given) } : UsualDeadline;
+    return given ? Milliseconds{ static_cast<double>(given) } : DefaultDeadline;
 }
 
-/** Without a rule GET, HEAD and OPTIONS may repeat and all else runs once. */
+/** The service's rules and the defaults: GET, HEAD and OPTIONS may repeat, all other methods run once. */
 std::vector<v1::RequestRule> rulesOf(const v1::Service& service)
 {
     std::vector<v1::RequestRule> rules(service.rules().begin(), service.rules().end());
@@ -80,7 +80,7 @@
     if (limits.retry_percent())
         description.retryShare = limits.retry_percent() / Hundred;
     if (limits.probe_budget_milliseconds())
-        description.probeShare = std::min(1.0, limits.probe_budget_milliseconds() / UsualProbeBudget);
+        description.probeShare = std::min(1.0, limits.probe_budget_milliseconds() / DefaultProbeBudget);
     description.coldRequestsPerSecond = limits.cold_requests_per_second();
     description.coldStart = { static_cast<double>(limits.cold_start_milliseconds()) };
     return description;
@@ -105,7 +105,7 @@
 {
     BackendServerRecord record;
     record.address = { .host = server.address(), .port = static_cast<std::uint16_t>(server.port()) };
-    // A moved backend server is another life.
+    // The address is part of the id: at another address it is another backend server.
     record.id = service.name() + "/" + server.name() + "@" + record.address.text();
     record.life = server.life();
     record.service = service.name();
@@ -155,7 +155,7 @@
     if (const auto configuration = decodeConfiguration(item.value))
         return factsOf(*configuration);
     Facts facts;
-    facts.findings.add(item.key, "is not a configuration; restore the key from a copy");
+    facts.findings.add(item.key, "is not a configuration; restore the key from a backup");
     return facts;
 }
 
--- a/Source/Membership/MemberTable.cpp
+++ b/Source/Membership/MemberTable.cpp
@@ -35,7 +35,7 @@
     const bool isNewLife = member.incarnation().number() > known;
     found->member = member;
     found->revision = isNewLife ? revision : std::max(found->revision, revision);
-    // Another instance may tell of it later than it spoke itself.
+    // The information may come from another instance and be older than the last message of the member itself.
     found->heardAt = std::max(found->heardAt, now);
     return isNewLife;
 }
@@ -51,7 +51,7 @@
 void MemberTable::tick(Milliseconds now)
 {
     std::erase_if(
-        this->list, [&](const KnownMember& known) { return now - known.heardAt > this->options.forgottenAfter; });
+        this->list, [&](const KnownMember& known) { return now - known.heardAt > this->options.expireAfter; });
 }
 
 }
--- a/Source/Membership/WatchDuty.cpp
+++ b/Source/Membership/WatchDuty.cpp
@@ -12,16 +12,20 @@
 
 constexpr std::uint64_t RankSeed = 2;
 /**
- * Turns do not follow from the rank: the lowest ranks watch, and with the same hash the first turns would all be
- * theirs. Of 300 fleets of 13 of which the store turns just the watchers away, nobody else asks within 1.9 s of its
- * last word in 3, and in 175 with the rank's hash and a whole first round.
+ * Turns use another hash than ranks: the instances of the lowest rank are the watchers, so with the same hash they
+ * would have the first turns as well. In 300 simulated fleets of 13 instances in which the store refuses only the
+ * watchers, no other instance asked within 1.9 s of the store's last answer in 3 fleets. With the hash of the rank and
+ * a whole first round it was 175 fleets.
  */
 constexpr std::uint64_t TurnSeed = 3;
-/** Of a round, in which all others have had their first turn: nobody knows yet that the store serves some of them. */
+/**
+ * The share of a round within which every instance has its first turn. The first round is shorter because no instance
+ * knows yet whether the store still serves some of them.
+ */
 constexpr double FirstRound = 0.5;
 
-/** From 0 up to 1. */
-double placeOf(std::uint64_t hash)
+/** Maps a hash to a number from 0 up to, but not including, 1. */
+double unitIntervalOf(std::uint64_t hash)
 {
     constexpr int bits = 64;
     return std::ldexp(static_cast<double>(hash), -bits);
@@ -37,7 +41,7 @@
 
 WatchDuty::Rank WatchDuty::rankOf(std::string_view name, std::uint32_t capacity)
 {
-    return { .weakness = ~capacity, .hash = hashOf(name, RankSeed) };
+    return { .invertedCapacity = ~capacity, .hash = hashOf(name, RankSeed) };
 }
 
 WatchDuty::Watcher* WatchDuty::findOrAdd(const peers::Member& member)
@@ -66,8 +70,8 @@
     if (!watcher)
         return;
     watcher->confirmedAt = std::max(watcher->confirmedAt, confirmedAt);
-    watcher->knownAt = now;
-    watcher->toldAt = now;
+    watcher->lastNamedAt = now;
+    watcher->updatedAt = now;
 }
 
 bool WatchDuty::knows(const peers::Incarnation& watcher) const
@@ -81,47 +85,49 @@
 void WatchDuty::toldOfWatcher(const peers::Member& member, Milliseconds now)
 {
     if (Watcher* watcher = this->findOrAdd(member))
-        watcher->knownAt = now;
+        watcher->lastNamedAt = now;
 }
 
 bool WatchDuty::isActive(const Watcher& watcher, Milliseconds now) const
 {
-    return now - watcher.confirmedAt <= this->options.remembered;
+    return now - watcher.confirmedAt <= this->options.expireAfter;
 }
 
-bool WatchDuty::isAsking(const Watcher& watcher, Milliseconds now) const
+bool WatchDuty::isCalling(const Watcher& watcher, Milliseconds now) const
 {
-    // As for knowledge: a watcher that ended is missed no later than its news are.
-    return now < watcher.toldAt + this->options.staleAfter;
+    // The same bound as for the age of knowledge, so that a watcher that ended is noticed no later than the lack of its
+    // updates.
+    return now < watcher.updatedAt + this->options.staleAfter;
 }
 
-Milliseconds WatchDuty::othersAskInVainUntil(Milliseconds now) const
+Milliseconds WatchDuty::othersUnansweredUntil(Milliseconds now) const
 {
     Milliseconds until = LongAgo;
     for (const Watcher& watcher : this->known) {
-        // Its news do not come through whole, or knowledge here would be fresh.
+        // This watcher has fresh answers of the store, but its updates do not arrive complete, or the knowledge of this
+        // instance would be fresh.
         if (now < watcher.confirmedAt + this->options.staleAfter)
             return LongAgo;
-        until = std::max(until, watcher.toldAt + this->options.staleAfter);
+        until = std::max(until, watcher.updatedAt + this->options.staleAfter);
     }
     return until;
 }
 
-std::size_t WatchDuty::peersWithDuty(Milliseconds now) const
+std::size_t WatchDuty::countComparableWatchers(Milliseconds now) const
 {
     return static_cast<std::size_t>(std::count_if(this->known.begin(), this->known.end(), [&](const Watcher& watcher) {
-        const bool hasDuty = this->isActive(watcher, now) || this->isAsking(watcher, now);
-        return watcher.rank.weakness <= this->ownRank.weakness && hasDuty;
+        const bool isWatcher = this->isActive(watcher, now) || this->isCalling(watcher, now);
+        return watcher.rank.invertedCapacity <= this->ownRank.invertedCapacity && isWatcher;
     }));
 }
 
-std::size_t WatchDuty::askingOthersBelow(Milliseconds now) const
+std::size_t WatchDuty::countCallingBelow(Milliseconds now) const
 {
     return static_cast<std::size_t>(std::count_if(this->known.begin(), this->known.end(),
-        [&](const Watcher& watcher) { return watcher.rank < this->ownRank && this->isAsking(watcher, now); }));
+        [&](const Watcher& watcher) { return watcher.rank < this->ownRank && this->isCalling(watcher, now); }));
 }
 
-std::size_t WatchDuty::activeOthersBelow(Milliseconds now) const
+std::size_t WatchDuty::countActiveBelow(Milliseconds now) const
 {
     return static_cast<std::size_t>(std::count_if(this->known.begin(), this->known.end(),
         [&](const Watcher& watcher) { return watcher.rank < this->ownRank && this->isActive(watcher, now); }));
@@ -129,60 +135,60 @@
 
 Milliseconds WatchDuty::volunteerDelay() const
 {
-    return this->options.volunteerSpread * placeOf(this->ownRank.hash);
+    return this->options.volunteerSpread * unitIntervalOf(this->ownRank.hash);
 }
 
 Milliseconds WatchDuty::stalenessBound() const
 {
-    return this->options.staleAfter + this->options.staleSpread * placeOf(this->ownRank.hash);
+    return this->options.staleAfter + this->options.staleSpread * unitIntervalOf(this->ownRank.hash);
 }
 
 bool WatchDuty::isStale(Milliseconds confirmedAt, Milliseconds now) const
 {
-    // Not as a difference: its rounding could deny the moment that nextChange() gives.
+    // Compares with a sum: the rounding of a difference could make this false at the time that nextChange() returned.
     return now >= confirmedAt + this->stalenessBound();
 }
 
-bool WatchDuty::shouldAskItself(bool isWatching, std::size_t instances, Milliseconds now)
+bool WatchDuty::shouldCallStore(bool isWatching, std::size_t instances, Milliseconds now)
 {
-    const Milliseconds until = this->othersAskInVainUntil(now);
-    const bool isOneOfFew = isWatching && this->askingOthersBelow(now) < this->options.wanted;
+    const Milliseconds until = this->othersUnansweredUntil(now);
+    const bool isOneOfFew = isWatching && this->countCallingBelow(now) < this->options.wantedWatchers;
     if (now >= until || isOneOfFew) {
-        this->turnAt = Never;
+        this->nextTurn = Never;
         return true;
     }
     const Milliseconds round
         = std::max(Second * (static_cast<double>(instances) / this->options.turnsPerSecond), this->options.staleAfter);
-    if (this->turnAt == Never)
-        this->turnAt = now + round * FirstRound * placeOf(hashOf(this->options.ownName, TurnSeed));
-    if (now >= this->turnAt) {
-        this->turnAt = now + round;
-        // As long as a watch without an answer takes.
-        this->turnUntil = now + this->stalenessBound();
+    if (this->nextTurn == Never)
+        this->nextTurn = now + round * FirstRound * unitIntervalOf(hashOf(this->options.ownName, TurnSeed));
+    if (now >= this->nextTurn) {
+        this->nextTurn = now + round;
+        // A watch without an answer takes as long as this.
+        this->turnEnd = now + this->stalenessBound();
     }
-    this->leavesItUntil = std::min(this->turnAt, until);
-    return now < this->turnUntil;
+    this->deferredUntil = std::min(this->nextTurn, until);
+    return now < this->turnEnd;
 }
 
 bool WatchDuty::shouldWatch(bool isWatching, Milliseconds confirmedAt, std::size_t instances, Milliseconds now)
 {
     std::erase_if(
-        this->known, [&](const Watcher& watcher) { return now - watcher.knownAt > this->options.remembered; });
-    const bool isVacant = this->peersWithDuty(now) < this->options.wanted;
+        this->known, [&](const Watcher& watcher) { return now - watcher.lastNamedAt > this->options.expireAfter; });
+    const bool isVacant = this->countComparableWatchers(now) < this->options.wantedWatchers;
     if (!isVacant)
         this->vacantSince = Never;
     else if (this->vacantSince == Never)
         this->vacantSince = now;
-    const bool volunteers = isVacant && now >= this->vacantSince + this->volunteerDelay();
+    const bool shouldVolunteer = isVacant && now >= this->vacantSince + this->volunteerDelay();
     if (this->isStale(confirmedAt, now))
-        return this->shouldAskItself(isWatching, instances, now) || volunteers;
-    this->turnAt = Never;
-    return isWatching ? this->activeOthersBelow(now) < this->options.wanted : volunteers;
+        return this->shouldCallStore(isWatching, instances, now) || shouldVolunteer;
+    this->nextTurn = Never;
+    return isWatching ? this->countActiveBelow(now) < this->options.wantedWatchers : shouldVolunteer;
 }
 
 Milliseconds WatchDuty::nextChange(Milliseconds confirmedAt) const
 {
-    const Milliseconds staleAt = std::max(confirmedAt + this->stalenessBound(), this->leavesItUntil);
+    const Milliseconds staleAt = std::max(confirmedAt + this->stalenessBound(), this->deferredUntil);
     if (this->vacantSince == Never)
         return staleAt;
     return std::min(staleAt, this->vacantSince + this->volunteerDelay());
@@ -190,16 +196,16 @@
 
 bool WatchDuty::leads(Milliseconds now) const
 {
-    return !this->activeOthersBelow(now);
+    return !this->countActiveBelow(now);
 }
 
 std::optional<peers::Member> WatchDuty::firstBefore(bool isWatching, Milliseconds now) const
 {
     const Watcher* first = nullptr;
     for (const Watcher& watcher : this->known) {
-        const bool isHeard = now - watcher.toldAt <= this->options.firstRemembered;
-        const bool goesBefore = !isWatching || watcher.rank < this->ownRank;
-        if (isHeard && goesBefore && (!first || watcher.rank < first->rank))
+        const bool isRecent = now - watcher.updatedAt <= this->options.firstExpireAfter;
+        const bool hasLowerRank = !isWatching || watcher.rank < this->ownRank;
+        if (isRecent && hasLowerRank && (!first || watcher.rank < first->rank))
             first = &watcher;
     }
     return first ? std::optional(first->member) : std::nullopt;
@@ -209,7 +215,7 @@
 {
     std::vector<const Watcher*> found;
     for (const Watcher& watcher : this->known) {
-        if (now - watcher.knownAt <= this->options.remembered)
+        if (now - watcher.lastNamedAt <= this->options.expireAfter)
             found.push_back(&watcher);
     }
     std::sort(found.begin(), found.end(), [&](const Watcher* left, const Watcher* right) {
@@ -222,17 +228,19 @@
 std::vector<peers::Member> WatchDuty::watchers(Milliseconds now) const
 {
     std::vector<peers::Member> found;
-    Rank last{ .weakness = ~0U, .hash = ~0ULL };
-    std::size_t heard = 0;
-    std::size_t unheard = 0;
+    Rank last{ .invertedCapacity = ~0U, .hash = ~0ULL };
+    std::size_t activeCount = 0;
+    std::size_t otherCount = 0;
     for (const Watcher* watcher : this->ranked(now)) {
-        const bool isHeard = this->isActive(*watcher, now);
-        std::size_t& count = isHeard ? heard : unheard;
-        // One that others named is worth a hello when it goes before those that were heard.
-        if (count >= this->options.wanted || (!isHeard && heard >= this->options.wanted && last < watcher->rank))
+        const bool isActiveWatcher = this->isActive(*watcher, now);
+        std::size_t& count = isActiveWatcher ? activeCount : otherCount;
+        // A watcher that only others named gets a hello if its rank is lower than that of the worst selected reporting
+        // watcher, or if there are too few of those.
+        if (count >= this->options.wantedWatchers
+            || (!isActiveWatcher && activeCount >= this->options.wantedWatchers && last < watcher->rank))
             continue;
         ++count;
-        last = isHeard ? watcher->rank : last;
+        last = isActiveWatcher ? watcher->rank : last;
         found.push_back(watcher->member);
     }
     return found;
@@ -242,8 +250,8 @@
 {
     std::vector<peers::Member> found;
     for (const Watcher* watcher : this->ranked(now)) {
-        const bool isHeard = this->isActive(*watcher, now) || this->isAsking(*watcher, now);
-        if (found.size() < this->options.wanted && isHeard)
+        const bool isReporting = this->isActive(*watcher, now) || this->isCalling(*watcher, now);
+        if (found.size() < this->options.wantedWatchers && isReporting)
             found.push_back(watcher->member);
     }
     return found;
--- a/Source/Quotas/CreditDesk.cpp
+++ b/Source/Quotas/CreditDesk.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr Milliseconds DealtWindow{ 1000 };
-constexpr Milliseconds ShortestComeBack{ 100 };
+constexpr Milliseconds LocalBudgetWindow{ 1000 };
+constexpr Milliseconds MinimumRetryDelay{ 100 };
 
 }
 
@@ -19,27 +19,28 @@
 
 CreditDecision CreditDesk::refusal(CreditDecision::Outcome outcome, Milliseconds wait)
 {
-    // Spread over as long again, or all that were refused would come back for the same credit.
-    const Milliseconds comeBack = std::max(ShortestComeBack, wait) * (1 + this->random->unit());
-    return { .outcome = outcome, .grantedAt = {}, .comeBackAfter = comeBack };
+    // Up to twice the wait, at random: otherwise all refused callers would retry at once for the same credit.
+    const Milliseconds retryDelay = std::max(MinimumRetryDelay, wait) * (1 + this->random->unit());
+    return { .outcome = outcome, .grantedAt = {}, .comeBackAfter = retryDelay };
 }
 
 std::optional<Milliseconds> CreditDesk::takeLocal(const Customer& customer, Milliseconds now)
 {
-    std::deque<Milliseconds>& unused = this->accounts[customer.name].unused;
-    while (!unused.empty() && now - unused.front() >= CreditLife)
-        unused.pop_front();
-    if (!unused.empty()) {
-        const Milliseconds grantedAt = unused.front();
-        unused.pop_front();
+    std::deque<Milliseconds>& unusedTimes = this->accounts[customer.name].unusedCredits;
+    while (!unusedTimes.empty() && now - unusedTimes.front() >= CreditLife)
+        unusedTimes.pop_front();
+    if (!unusedTimes.empty()) {
+        const Milliseconds grantedAt = unusedTimes.front();
+        unusedTimes.pop_front();
         return grantedAt;
     }
     if (!this->instances)
         return std::nullopt;
     const QuotaPlan plan(customer.limit, this->options.bound);
-    const auto all = static_cast<double>(std::max<std::size_t>(*this->instances, 1));
-    const DealtBudget::Part part{ .perSecond = plan.dealtPerSecond() / all, .window = DealtWindow };
-    return this->dealt.take(customer.name, part, *this->random, now) ? std::optional(now) : std::nullopt;
+    const auto instanceCount = static_cast<double>(std::max<std::size_t>(*this->instances, 1));
+    const DealtBudget::Part part{ .perSecond = plan.usableWithoutGrantPerSecond() / instanceCount,
+        .window = LocalBudgetWindow };
+    return this->localBudget.take(customer.name, part, *this->random, now) ? std::optional(now) : std::nullopt;
 }
 
 CreditDecision CreditDesk::request(RequestNumber request, const Customer& customer, Milliseconds now)
@@ -50,16 +51,16 @@
     if (now < account.exhaustedUntil)
         return this->refusal(CreditDecision::Outcome::Exhausted, account.exhaustedUntil - now);
     if (this->isSilent(now))
-        return this->refusal(CreditDecision::Outcome::Unconfirmed, this->silentUntil - now);
+        return this->refusal(CreditDecision::Outcome::Unconfirmed, this->unresponsiveUntil - now);
     account.waiting.push_back(request);
-    this->busy.insert(customer.name);
+    this->activeCustomers.insert(customer.name);
     return { .outcome = CreditDecision::Outcome::Awaited, .grantedAt = {}, .comeBackAfter = {} };
 }
 
 void CreditDesk::giveBack(const std::string& customer, Milliseconds grantedAt, Milliseconds now)
 {
     if (now - grantedAt < CreditLife)
-        this->accounts[customer].unused.push_back(grantedAt);
+        this->accounts[customer].unusedCredits.push_back(grantedAt);
 }
 
 void CreditDesk::forget(RequestNumber request, const std::string& customer)
@@ -68,26 +69,27 @@
     const auto found = std::find(account.waiting.begin(), account.waiting.end(), request);
     if (found == account.waiting.end())
         return;
-    // Credit that comes for it is used by the next one.
+    // Credit already requested for it goes to the next waiting request.
     account.waiting.erase(found);
 }
 
 std::vector<CreditDesk::Ask> CreditDesk::takeAsks(Milliseconds now)
 {
     std::vector<Ask> asks;
-    std::erase_if(this->busy, [this](const std::string& customer) {
+    std::erase_if(this->activeCustomers, [this](const std::string& customer) {
         const Account& account = this->accounts[customer];
-        return account.waiting.empty() && !account.asked;
+        return account.waiting.empty() && !account.pendingQuery;
     });
-    for (const std::string& customer : this->busy) {
+    for (const std::string& customer : this->activeCustomers) {
         Account& account = this->accounts[customer];
-        if (account.asked)
+        if (account.pendingQuery)
             continue;
-        account.asked = ++this->lastAsk;
-        account.askedFor = account.waiting.size();
-        account.answerDue = now + this->options.answerPatience;
-        asks.push_back(
-            { .number = account.asked, .customer = customer, .requests = static_cast<unsigned>(account.askedFor) });
+        account.pendingQuery = ++this->lastQuery;
+        account.queriedRequests = account.waiting.size();
+        account.answerDeadline = now + this->options.answerTimeout;
+        asks.push_back({ .number = account.pendingQuery,
+            .customer = customer,
+            .requests = static_cast<unsigned>(account.queriedRequests) });
     }
     return asks;
 }
@@ -104,15 +106,15 @@
 std::vector<CreditDesk::Settled> CreditDesk::nobodyGrants(Milliseconds now)
 {
     std::vector<Settled> settled;
-    this->silentUntil = now + this->options.silentPause;
-    for (const std::string& customer : this->busy) {
+    this->unresponsiveUntil = now + this->options.unresponsivePause;
+    for (const std::string& customer : this->activeCustomers) {
         Account& account = this->accounts[customer];
-        account.asked = 0;
-        account.asks = 0;
-        account.answerDue = Never;
+        account.pendingQuery = 0;
+        account.unansweredQueries = 0;
+        account.answerDeadline = Never;
         while (!account.waiting.empty())
-            this->refuseFront(
-                account, 1, this->refusal(CreditDecision::Outcome::Unconfirmed, this->options.silentPause), settled);
+            this->refuseFront(account, 1,
+                this->refusal(CreditDecision::Outcome::Unconfirmed, this->options.unresponsivePause), settled);
     }
     return settled;
 }
@@ -121,18 +123,19 @@
 {
     std::vector<Settled> settled;
     const auto found = this->accounts.find(answer.customer);
-    // Credit that came too late is not used: the instance that granted it may have ended meanwhile.
-    if (found == this->accounts.end() || !answer.number || found->second.asked != answer.number)
+    // Credit in a late answer is discarded: the granting instance may have lost its role since then.
+    if (found == this->accounts.end() || !answer.number || found->second.pendingQuery != answer.number)
         return settled;
     if (!answer.isGranting)
         return this->nobodyGrants(now);
     Account& account = found->second;
-    // It was granted at some moment since the question was sent.
-    const Milliseconds grantedAt = account.answerDue - this->options.answerPatience;
-    const std::size_t asked = account.askedFor;
-    account.asked = 0;
-    account.asks = 0;
-    account.answerDue = Never;
+    // The exact time of the grant is unknown. Taking the time when the query was sent, the earliest possible, makes
+    // the credit expire early rather than late.
+    const Milliseconds grantedAt = account.answerDeadline - this->options.answerTimeout;
+    const std::size_t queried = account.queriedRequests;
+    account.pendingQuery = 0;
+    account.unansweredQueries = 0;
+    account.answerDeadline = Never;
     unsigned left = answer.grant.amount;
     std::size_t served = 0;
     for (; left && !account.waiting.empty(); --left, ++served) {
@@ -142,7 +145,7 @@
     }
     for (; left; --left)
         this->giveBack(answer.customer, grantedAt, now);
-    if (answer.grant.amount >= asked)
+    if (answer.grant.amount >= queried)
         return settled;
     account.exhaustedUntil = now + answer.grant.wait;
     while (!account.waiting.empty())
@@ -152,23 +155,23 @@
 
 std::vector<CreditDesk::Settled> CreditDesk::tick(Milliseconds now)
 {
-    bool isSilent = false;
-    for (const std::string& customer : this->busy) {
+    bool isUnresponsive = false;
+    for (const std::string& customer : this->activeCustomers) {
         Account& account = this->accounts[customer];
-        if (now < account.answerDue)
+        if (now < account.answerDeadline)
             continue;
-        account.answerDue = Never;
-        account.asked = 0;
-        isSilent = isSilent || ++account.asks >= this->options.mostAsks;
+        account.answerDeadline = Never;
+        account.pendingQuery = 0;
+        isUnresponsive = isUnresponsive || ++account.unansweredQueries >= this->options.maximumQueries;
     }
-    return isSilent ? this->nobodyGrants(now) : std::vector<Settled>();
+    return isUnresponsive ? this->nobodyGrants(now) : std::vector<Settled>();
 }
 
 Milliseconds CreditDesk::nextDue() const
 {
     Milliseconds due = Never;
-    for (const std::string& customer : this->busy)
-        due = std::min(due, this->accounts.at(customer).answerDue);
+    for (const std::string& customer : this->activeCustomers)
+        due = std::min(due, this->accounts.at(customer).answerDeadline);
     return due;
 }
 
--- a/Source/Rollouts/FleetEvidence.cpp
+++ b/Source/Rollouts/FleetEvidence.cpp
@@ -11,7 +11,7 @@
     return answers.all ? static_cast<double>(answers.bad) / static_cast<double>(answers.all) : 0;
 }
 
-bool isLess(const VersionCounts& left, const VersionCounts& right)
+bool hasDecreased(const VersionCounts& left, const VersionCounts& right)
 {
     return left.usual.all < right.usual.all || left.usual.bad < right.usual.bad || left.target.all < right.target.all
         || left.target.bad < right.target.bad;
@@ -21,24 +21,24 @@
 
 void FleetEvidence::told(const std::string& instance, std::uint64_t life, const CountsByRoute& counts)
 {
-    CountsByRoute& before = this->byInstance[{ instance, life }];
+    CountsByRoute& lastReport = this->byInstance[{ instance, life }];
     for (const auto& [route, now] : counts) {
-        VersionCounts& known = before[route];
-        // Told on the way that was overtaken by a later one.
-        if (isLess(now, known))
+        VersionCounts& known = lastReport[route];
+        // An older report that arrived after a newer one.
+        if (hasDecreased(now, known))
             continue;
         this->add(route, now - known);
         known = now;
     }
 }
 
-void FleetEvidence::add(const std::string& route, const VersionCounts& more)
+void FleetEvidence::add(const std::string& route, const VersionCounts& increase)
 {
-    Route& one = this->routes[route];
-    one.sum = one.sum + more;
-    this->sum = this->sum + more;
-    one.test.add(more.target, shareOfBad(one.sum.usual));
-    this->test.add(more.target, shareOfBad(this->sum.usual));
+    Route& evidence = this->routes[route];
+    evidence.sum = evidence.sum + increase;
+    this->totalCounts = this->totalCounts + increase;
+    evidence.test.add(increase.target, shareOfBad(evidence.sum.usual));
+    this->test.add(increase.target, shareOfBad(this->totalCounts.usual));
 }
 
 bool FleetEvidence::isBad() const
--- a/Source/Store/StoreView.cpp
+++ b/Source/Store/StoreView.cpp
@@ -7,14 +7,17 @@
 
 namespace {
 
-/** Enough for the removals of many minutes; whoever is further behind takes everything. */
-constexpr std::size_t RememberedRemovals = 1024;
-/** Of a key. Others that hear of a change hold one of the last two; a third for those whose news were lost. */
+/** Enough for the removals of many minutes; an instance that is further behind is sent everything. */
+constexpr std::size_t MaximumRemovals = 1024;
+/**
+ * Earlier large values kept for each key. Instances that are sent a change normally have one of the last two values;
+ * the third is for those that missed an update.
+ */
 constexpr std::size_t EarlierValuesKept = 3;
 
 }
 
-bool StoreView::take(const StoreItem& item)
+bool StoreView::apply(const StoreItem& item)
 {
     const auto removal = std::find_if(this->removals.begin(), this->removals.end(),
         [&](const StoreItem& known) { return known.key == item.key && known.revision >= item.revision; });
@@ -25,7 +28,7 @@
     if (isThere && known->second.revision >= item.revision)
         return false;
     if (item.removed) {
-        this->remember(item);
+        this->rememberRemoval(item);
         if (isThere)
             this->items.erase(known);
         return isThere;
@@ -38,10 +41,10 @@
     return true;
 }
 
-void StoreView::remember(const StoreItem& removal)
+void StoreView::rememberRemoval(const StoreItem& removal)
 {
     this->removals.push_back(removal);
-    if (this->removals.size() <= RememberedRemovals)
+    if (this->removals.size() <= MaximumRemovals)
         return;
     this->changesKnownSince = std::max(this->changesKnownSince, this->removals.front().revision);
     this->removals.pop_front();
@@ -78,13 +81,13 @@
 
 std::vector<StoreItem> StoreView::applyChanges(std::span<const StoreItem> changes, StoreRevision through)
 {
-    std::vector<StoreItem> news;
+    std::vector<StoreItem> applied;
     for (const StoreItem& change : changes) {
-        if (this->take(change))
-            news.push_back(change);
+        if (this->apply(change))
+            applied.push_back(change);
     }
     this->completeThrough = std::max(this->completeThrough, through);
-    return news;
+    return applied;
 }
 
 std::vector<StoreItem> StoreView::replaceAll(std::span<const StoreItem> all, StoreRevision at)
@@ -100,15 +103,15 @@
         if (isMissing && item.revision <= at)
             changes.push_back({ .key = key, .value = {}, .revision = at, .removed = true });
     }
-    this->noteGap(at);
+    this->recordGap(at);
     return this->applyChanges(changes, at);
 }
 
-void StoreView::noteGap(StoreRevision through)
+void StoreView::recordGap(StoreRevision through)
 {
     if (through <= this->completeThrough)
         return;
-    // Of two gaps only the later one is remembered.
+    // Only the latest gap is kept, so changes before the end of the previous one count as unknown.
     this->changesKnownSince = std::max(this->changesKnownSince, this->gapThrough);
     this->gapAfter = this->completeThrough;
     this->gapThrough = through;
--- a/Tests/Quotas/CustomerCreditTest.cpp
+++ b/Tests/Quotas/CustomerCreditTest.cpp
@@ -1,7 +1,7 @@
-// A customer's limit is one for the whole fleet. Fleets of 3 to 984 instances
-// let through what one of them grants and what each was dealt; the customer
-// sends at many, at one, or at one after the other. Counted is what reaches
-// servers in every sliding window, with each credit used as late as it may be.
+// Guards the limit of a customer, which holds for the whole fleet. Fleets of 3 to 984 instances let requests through
+// with credit from the granting instance and with their random shares of the budget that needs no grant. The customer
+// sends to all instances, to one, or to one after the other. The tests count the requests that reach backend servers in
+// every sliding window, with each credit used as late as allowed, or at once.
 
 #include "Quotas/CreditDesk.h"
 #include "Quotas/CreditGrants.h"
@@ -22,7 +22,7 @@
 
 constexpr QuotaBound Bound{ .window = { 5000 }, .overage = 0.1, .slack = 20 };
 constexpr Milliseconds Step{ 5 };
-constexpr Milliseconds ToPeer{ 2 };
+constexpr Milliseconds PeerDelay{ 2 };
 
 double boundOf(const CustomerLimit& limit)
 {
@@ -43,10 +43,10 @@
     Spread spread;
 };
 
-/** One customer's requests through a fleet; the instance that grants may change. */
-class Customers {
+/** Sends one customer's requests through a fleet whose granting instance may change. */
+class CustomerSimulation {
 public:
-    explicit Customers(const Case& given)
+    explicit CustomerSimulation(const Case& given)
         : item(given)
         , grantors(2, CreditGrants(Bound))
     {
@@ -65,15 +65,15 @@
     {
         const Milliseconds end = this->now + span;
         for (; this->now < end; this->now = this->now + Step) {
-            this->owed += this->item.sentPerSecond * (Step / Second);
-            for (; this->owed >= 1; this->owed -= 1)
+            this->unsent += this->item.sentPerSecond * (Step / Second);
+            for (; this->unsent >= 1; this->unsent -= 1)
                 this->send();
             for (std::size_t index = 0; index < this->desks.size(); ++index)
                 this->ask(index);
         }
     }
 
-    /** From now on these modes hold; the second instance begins when it had none. */
+    /** Sets the modes of the two granting instances; the second one starts to grant if its mode was None. */
     void setModes(GrantMode first, GrantMode second)
     {
         if (this->modes[1] == GrantMode::None && second != GrantMode::None)
@@ -81,13 +81,14 @@
         this->modes = { first, second };
     }
 
-    /** The most in a window, when each request reaches its server as late after its credit as it may, or at once. */
+    /** The most requests in a window, if each reaches its server at once or as late as its credit allows. */
     double mostInWindow() const
     {
         double most = 0;
         for (const bool late : { false, true }) {
             std::deque<double> window;
-            // The worst order: credit of the beginning is used late, that of the end at once.
+            // The worst case: credit granted before the window is used as late as allowed, credit granted at its end
+            // at once.
             for (const Milliseconds at : this->granted) {
                 window.push_back(at.count);
                 const double span = Bound.window.count + (late ? CreditLife.count : 0);
@@ -128,14 +129,14 @@
     void ask(std::size_t index)
     {
         for (const CreditDesk::Ask& ask : this->desks[index]->takeAsks(this->now)) {
-            // Some hear of the other granting instance earlier than the rest.
+            // Half of the instances learn of the second granting instance earlier than the others.
             const std::size_t grantor = this->modes[1] != GrantMode::None && index % 2 ? 1 : 0;
             CreditDesk::Answer answer{ .number = ask.number, .customer = ask.customer };
             answer.isGranting = this->modes[grantor] != GrantMode::None;
             if (answer.isGranting)
                 answer.grant
                     = this->grantors[grantor].grant(this->customer, ask.requests, this->modes[grantor], this->now);
-            for (const CreditDesk::Settled& settled : this->desks[index]->answered(answer, this->now + ToPeer)) {
+            for (const CreditDesk::Settled& settled : this->desks[index]->answered(answer, this->now + PeerDelay)) {
                 if (settled.decision.outcome == CreditDecision::Outcome::Granted)
                     this->granted.push_back(this->now);
             }
@@ -150,7 +151,7 @@
     std::array<GrantMode, 2> modes{ GrantMode::Full, GrantMode::None };
     Customer customer;
     Milliseconds now{ 1000 };
-    double owed = 0;
+    double unsent = 0;
     RequestNumber last = 0;
 };
 
@@ -184,33 +185,33 @@
 
 TEST_GROUP(CustomerCredit){};
 
-TEST(CustomerCredit, NoWindowHoldsMoreThanTheBoundHoweverMuchIsSent)
+TEST(CustomerCredit, NoWindowExceedsTheBoundUnderOverload)
 {
     for (const Case& item : cases(8)) {
-        Customers customers(item);
+        CustomerSimulation customers(item);
         customers.run({ 15000 });
         const std::string text = textOf(item) + ", window " + std::to_string(customers.mostInWindow());
         CHECK_TEXT(customers.mostInWindow() <= boundOf(item.limit), text.c_str());
-        // Most of the limit is served while more is asked for.
+        // An overloaded limit must still be used: at least 90 % of it is served.
         CHECK_TEXT(
             static_cast<double>(customers.granted.size()) >= item.limit.requestsPerSecond * 15 * 0.9, text.c_str());
     }
 }
 
-TEST(CustomerCredit, WhoStaysBelowTheLimitIsNotRefused)
+TEST(CustomerCredit, ACustomerBelowItsLimitIsNotRefused)
 {
     for (const Case& item : cases(1 / 1.6)) {
-        Customers customers(item);
+        CustomerSimulation customers(item);
         customers.run({ 15000 });
         const double share = static_cast<double>(customers.granted.size()) / static_cast<double>(customers.sent);
         CHECK_TEXT(share >= 0.99, (textOf(item) + ", share " + std::to_string(share)).c_str());
     }
 }
 
-TEST(CustomerCredit, TheBoundHoldsWhileOneInstanceFollowsAnother)
+TEST(CustomerCredit, TheBoundHoldsDuringAChangeOfTheGrantingInstance)
 {
     for (const Case& item : cases(8)) {
-        Customers customers(item);
+        CustomerSimulation customers(item);
         customers.run({ 6000 });
         customers.setModes(GrantMode::Half, GrantMode::Half);
         customers.run({ 4000 });
@@ -221,17 +222,17 @@
     }
 }
 
-TEST(CustomerCredit, WithoutAGrantingInstanceEachRequestIsRefusedAtOnceOrUsesWhatWasDealt)
+TEST(CustomerCredit, WithoutAGrantingInstanceRequestsUseLocalCreditOnly)
 {
     const Case item{ .name = "", .instances = 40, .limit = Small, .sentPerSecond = 64, .spread = Spread::Everywhere };
-    Customers customers(item);
+    CustomerSimulation customers(item);
     customers.setModes(GrantMode::None, GrantMode::None);
     customers.run({ 15000 });
     CHECK(!customers.granted.empty());
     CHECK(customers.mostInWindow() <= boundOf(item.limit));
 }
 
-TEST(CustomerCredit, CreditThatWasNotUsedServesTheNextRequestAndIsGoneSoon)
+TEST(CustomerCredit, UnusedCreditServesTheNextRequestUntilItExpires)
 {
     Random random(3);
     CreditDesk desk({ .bound = Bound }, random);
@@ -250,7 +251,7 @@
     CHECK(desk.request(3, customer, Milliseconds{ 100 } + CreditLife).outcome == CreditDecision::Outcome::Awaited);
 }
 
-TEST(CustomerCredit, ASilentGrantingInstanceIsAskedTwiceAndThenLeftAloneForAWhile)
+TEST(CustomerCredit, PausesAfterTwoQueriesWithoutAnAnswer)
 {
     Random random(3);
     CreditDesk desk({ .bound = Bound }, random);
