--- a/Source/Traffic/BearerKey.cpp
+++ b/Source/Traffic/BearerKey.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::string_view Scheme = "Bearer";
-/** Longer ones are taken for rubbish: the digest of each is computed before anything is known of its sender. */
+/** In characters. Longer keys are rejected unhashed: hashing happens before anything is known about the sender. */
 constexpr std::size_t LongestKey = 4096;
 constexpr std::string_view KeyMarks = "-._~+/=";
 
@@ -17,7 +17,7 @@
     return std::isalnum(static_cast<unsigned char>(character)) || KeyMarks.find(character) != std::string_view::npos;
 }
 
-/** Empty unless the value is the scheme, blanks and one key. */
+/** Returns the key of a value of the form "Bearer KEY"; empty if the value has any other form. */
 std::string_view keyOf(std::string_view value)
 {
     if (value.size() <= Scheme.size() || !boost::beast::iequals(value.substr(0, Scheme.size()), Scheme))
--- a/Source/Traffic/BearerKey.h
+++ b/Source/Traffic/BearerKey.h
@@ -8,19 +8,22 @@
 
 namespace burlreach {
 
-/** The header in which a caller brings its customer's key. */
+/** The header field in which a caller sends its customer's key. */
 inline constexpr std::string_view KeyField = "Authorization";
 
-/** Reads "Authorization: Bearer KEY" and keeps the digest of the key only. */
+/** Reads "Authorization: Bearer KEY". The result holds the digest of the key, never the key itself. */
 Credential readBearerKey(const HttpFields& fields);
 
-/** What a backend server is told of whose a request is, in place of the caller's key. */
+/** The customer that is named to a backend server in place of the caller's key. */
 struct CustomerWords {
-    bool isKeyKept = false; // false: there are no customers, and all that the caller sent goes on
-    std::string customer; // empty: nobody's
+    bool isKeyKept = false; // false: no customers are configured, and the caller's fields are forwarded unchanged
+    std::string customer; // empty: the request belongs to no customer
 };
 
-/** Takes the key and whatever the caller sent under this name out of the request, and names the customer there. */
+/**
+ * Removes the key from the request and sets the field nameField to the
+ * customer's name. A value that the caller sent in that field is removed.
+ */
 void writeCustomer(HttpFields& fields, std::string_view nameField, const CustomerWords& words);
 
 }
--- a/Source/Traffic/LastingFields.cpp
+++ b/Source/Traffic/LastingFields.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** Host belongs to the route; the others are new with each attempt by common usage. */
+/** Host is already part of the route; clients usually set the other fields anew for each attempt. */
 constexpr std::array<std::string_view, 5> LeftOut{ "host", "date", "traceparent", "tracestate", "x-request-id" };
 
 std::string lowerCase(std::string_view text)
@@ -35,9 +35,9 @@
         if (isLeftOut || concernsConnection(field.name()) || dialect.variesByAttempt(name))
             continue;
         const std::string_view value{ field.value().data(), field.value().size() };
-        // The sum is told to others, and quick hashes can be turned back into short keys.
+        // The sum is sent to other instances, and a short key could be recovered from a non-cryptographic hash.
         const bool isSecret = boost::beast::iequals(name, KeyField);
-        // A sum, so that their order does not matter.
+        // Added, so that the order of the fields does not matter.
         sum += isSecret ? hashOf(digestOfKey(value).text(), hashOf(name)) : hashOf(value, hashOf(name));
     }
     return sum;
--- a/Source/Traffic/LastingFields.h
+++ b/Source/Traffic/LastingFields.h
@@ -8,10 +8,10 @@
 namespace burlreach {
 
 /**
- * A hash of the header fields of a request that stay when its caller sends it
- * again, whatever their order: who it is for, what is wanted, in which form.
- * Left out are those of the connection, the ids and times of one attempt, and
- * the traces that each attempt begins anew.
+ * Hashes the header fields that stay the same when a caller repeats its
+ * request, independently of their order. Left out are the fields of the
+ * connection, the ids and times of one attempt, and trace contexts, which each
+ * attempt starts anew.
  */
 std::uint64_t lastingFieldsOf(const HttpRequest& request, const TrafficDialect& dialect);
 
--- a/Source/Traffic/LoadText.cpp
+++ b/Source/Traffic/LoadText.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr double MillisecondsPerSecond = 1000;
-/** No span in a header is longer; keeps numbers in range. */
+/** Upper limit of a duration in a header field; keeps the numbers in range. */
 constexpr double LongestMilliseconds = 1e9;
 
 std::string_view trimmed(std::string_view text)
--- a/Source/Traffic/LoadText.h
+++ b/Source/Traffic/LoadText.h
@@ -7,16 +7,16 @@
 
 namespace burlreach {
 
-/** Reads "RUNNING,WAITING,SLOTS,PERCENT"; figures may be missing from the end. Nothing when it is no such list. */
+/** Parses "RUNNING,WAITING,SLOTS,PERCENT"; values may be missing at the end. Returns nothing for any other text. */
 std::optional<LoadFigures> parseLoad(std::string_view text);
 
-/** Reads a whole number of milliseconds; nothing when it is none. */
+/** Parses a whole number of milliseconds; returns nothing for any other text. */
 std::optional<Milliseconds> parseMilliseconds(std::string_view text);
 
-/** Whole milliseconds, at least 1. */
+/** Formats a duration as whole milliseconds, rounded down, but at least 1. */
 std::string millisecondsText(Milliseconds span);
 
-/** Seconds with fractions, as in "0.25". */
+/** Formats a duration as seconds with three decimals, as in "0.250". */
 std::string secondsText(Milliseconds span);
 
 }
--- a/Source/Traffic/NamedLimit.h
+++ b/Source/Traffic/NamedLimit.h
@@ -8,9 +8,10 @@
 namespace burlreach {
 
 /**
- * The requests a second that a backend server takes from all instances
- * together, as the field of its answer names them: the lowest where it stands
- * several times. Nothing when it is missing or is no plain decimal number.
+ * Returns the rate limit that a backend server states in this field of its
+ * answer: the requests per second that it accepts from all instances together.
+ * If the field occurs several times, the lowest value counts. Values that are
+ * not plain decimal numbers are ignored; returns nothing if no value is left.
  */
 std::optional<double> namedLimitOf(const HttpFields& fields, std::string_view name);
 
--- a/Source/Traffic/PlainNumber.h
+++ b/Source/Traffic/PlainNumber.h
@@ -5,12 +5,13 @@
 
 namespace burlreach {
 
-/** Without the blanks around it. */
+/** Returns the text without leading and trailing blanks. */
 std::string_view trimmed(std::string_view text);
 
 /**
- * Digits, and perhaps a point and more of them: no sign, exponent, name or
- * other text. Beyond the largest number: that one; below the smallest: zero.
+ * Parses digits, optionally followed by a point and more digits. Returns
+ * nothing for any other text, such as a sign, an exponent or "inf". A number
+ * that is out of range becomes the largest double, one that is too small zero.
  */
 std::optional<double> parsePlainNumber(std::string_view text);
 
--- a/Source/Traffic/RefusalStatus.h
+++ b/Source/Traffic/RefusalStatus.h
@@ -7,12 +7,12 @@
 namespace burlreach {
 
 /**
- * The status that tells a caller of its refused request. Those that promise
- * that it did not run are given only where that is proved.
+ * Returns the status with which a caller's request is refused. A status that
+ * promises that the request has not run is used only if that is proved.
  */
 boost::beast::http::status statusOf(const RefuseRequest& refusal);
 
-/** True for statuses with which a caller is told when to come back. */
+/** Returns true for statuses that are sent with a Retry-After field. */
 bool tellsWhenToComeBack(boost::beast::http::status status);
 
 }
--- a/Source/Traffic/RequestDesk.cpp
+++ b/Source/Traffic/RequestDesk.cpp
@@ -135,7 +135,7 @@
         gone.push_back(item->second);
     this->bySession.erase(session->number());
     for (const RequestNumber number : gone) {
-        // The decisions cancel what is under way first.
+        // Posted before the request is erased, because handling the event cancels the request's attempts.
         this->parts.sink->post(CallerGone{ .request = number });
         this->requests.erase(number);
     }
@@ -194,8 +194,8 @@
 void RequestDesk::headerRead(
     const std::string& backendServer, std::uint64_t life, Milliseconds sentAt, const HttpResponse& header)
 {
-    // Not with the end of the attempt: a retry is chosen there, the body may take long or break off, and an answer to
-    // another request has no end here.
+    // The notice is not left to the end of the attempt: the server of a retry is chosen there, the body may take long
+    // or break off, and a late answer to another request never ends an attempt.
     const ServerNotice notice = this->parts.dialect->readNotice(header, backendServer);
     if (!notice.isEmpty())
         this->parts.sink->post(
@@ -325,7 +325,7 @@
 void RequestDesk::probeEnded(const Probe& probe, bool wasKept, HttpExchangeEnd end)
 {
     const bool wasClosed = end.result == HttpExchangeResult::Broken || end.result == HttpExchangeResult::NotSent;
-    // The server may have closed the idle connection just then.
+    // The server may have closed the idle connection just before the probe was sent; try a new connection.
     if (wasKept && wasClosed)
         return this->probe(probe, nullptr);
     ProbeEnd ended;
@@ -354,7 +354,7 @@
 {
     if (!action.keepsConnections)
         this->connections.closeAll(action.backendServer);
-    // Each end is decided on at once, which changes the list of requests.
+    // Collected first: ending an exchange posts an event whose handling changes the map of requests.
     std::vector<std::shared_ptr<HttpExchange>> unsent;
     for (const auto& [number, request] : this->requests) {
         for (const auto& [attempt, item] : request.attempts) {
--- a/Source/Traffic/RequestDesk.h
+++ b/Source/Traffic/RequestDesk.h
@@ -24,23 +24,26 @@
 namespace burlreach {
 
 /**
- * Carries requests between callers, the decisions and backend servers, on the
- * thread of traffic. Requests and answers are passed on whole.
+ * Forwards callers' requests to backend servers and the answers back to the
+ * callers, on the traffic thread. Posts events to the event sink and executes
+ * the actions that Node decides on. Also sends probes and checks whether a
+ * server accepts connections. Requests and answers are buffered whole.
  */
 class RequestDesk final : private HttpSessionHandler {
 public:
     struct Options {
         NetworkAddress address;
         std::size_t mostSessions = 4000;
-        HttpSessionLimits limits; // until a configuration names others
+        HttpSessionLimits limits; // in force until the first configuration
         Milliseconds connectTimeout{ 250 };
         /**
-         * Callers that connect wait at most so long: a little less than the second after which they give up. After a
-         * loss of all 95 instances half of those refused after 400 ms would have been served 0.2 s later, the last 0.6
-         * s.
+         * How long connecting callers wait for the first configuration. A little less than the 1 s after which callers
+         * give up. With 400 ms, after a loss of all 95 instances, half of the refused requests would have been served
+         * within 0.2 s more, and the last within 0.6 s.
          */
         Milliseconds longestWithoutConfiguration{ 850 };
-        Milliseconds longestIdleRunOnce{ 1000 }; // of a connection that a run-once request may take
+        /** Longest idle time of a kept connection on which a run-once request may be sent. */
+        Milliseconds longestIdleRunOnce{ 1000 };
     };
 
     struct Parts {
@@ -54,11 +57,13 @@
     RequestDesk(asio::io_context& context, Options options, Parts parts);
 
     /**
-     * Callers can connect at once. The first ones are accepted with the first
-     * configuration, or refused when it does not come soon.
+     * Listens for callers. They can connect at once, but connections are
+     * accepted only after the first configuration or, if there is none, after
+     * longestWithoutConfiguration.
      */
     std::error_code start();
     HttpListener& sessions() { return this->listener; }
+    /** Closes expired sessions and connections and updates the metrics; to be called about once a second. */
     void tend();
 
     void execute(const SendAttempt& action);
@@ -73,22 +78,22 @@
     std::size_t openRequests() const { return this->requests.size(); }
 
 private:
-    /** An attempt under way, or its answer. */
+    /** An attempt in progress or its answer. */
     struct Attempt {
-        std::shared_ptr<HttpExchange> exchange;
+        std::shared_ptr<HttpExchange> exchange; // null: the attempt has ended
         std::string backendServer;
         Milliseconds sentAt;
         std::optional<HttpResponse> response;
     };
 
-    /** A request whose caller waits. */
+    /** A request whose caller waits for an answer. */
     struct Request {
         std::weak_ptr<HttpSession> session;
-        HttpRequestNumber place = 0; // within the session
+        HttpRequestNumber place = 0; // its number within the session
         HttpRequest message;
         std::string requestId;
         Milliseconds arrivedAt;
-        Milliseconds atBackendServer; // of the attempt that answered
+        Milliseconds atBackendServer; // duration of the attempt that ended last
         std::map<AttemptNumber, Attempt> attempts;
     };
 
@@ -99,8 +104,7 @@
     void callerGone(const std::shared_ptr<HttpSession>& session) override;
     void sessionRefused() override;
 
-    /** The header of an answer has come, whatever becomes of the answer. */
-    /** Of an answer to something that was sent at this time. */
+    /** Called for the header of each answer to a request or probe sent at sentAt, even if the answer is unusable. */
     void headerRead(
         const std::string& backendServer, std::uint64_t life, Milliseconds sentAt, const HttpResponse& header);
     HttpRequest forwarded(const Request& request, const SendAttempt& action) const;
--- a/Source/Traffic/RetryAfter.cpp
+++ b/Source/Traffic/RetryAfter.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 constexpr double MillisecondsPerSecond = 1000;
-/** 30,000 years: whoever asks for more outlives no server. Keeps times finite. */
+/** 30,000 years; keeps times finite. */
 constexpr Milliseconds Longest{ 1e15 };
-/** The form of today, then the two that HTTP still lets a receiver meet. */
+/** The preferred date format of HTTP, then the two obsolete ones that a recipient must still accept. */
 constexpr std::array<const char*, 3> DateForms{ "%a, %d %b %Y %H:%M:%S GMT", "%a, %d-%b-%y %H:%M:%S GMT",
     "%a %b %d %H:%M:%S %Y" };
 
--- a/Source/Traffic/RetryAfter.h
+++ b/Source/Traffic/RetryAfter.h
@@ -8,11 +8,11 @@
 namespace burlreach {
 
 /**
- * For how long the sender of an answer wants nothing, by its Retry-After:
- * seconds, with fractions or without, however many, or a date. A date counts
- * from the answer's own Date, so that no two clocks need to agree, else from
- * the time of day here. Nothing when the field is missing or is neither; zero
- * for a date that has passed.
+ * Returns for how long the sender of an answer wants no requests, as its
+ * Retry-After field says: seconds, with or without a fraction, or a date. A
+ * date is compared with the answer's own Date field, so that the two clocks
+ * need not agree, or with the local clock if there is no such field. Returns
+ * nothing if Retry-After is missing or unreadable, zero for a date in the past.
  */
 std::optional<Milliseconds> retryAfterOf(const HttpFields& fields);
 
--- a/Source/Traffic/TrafficDialect.h
+++ b/Source/Traffic/TrafficDialect.h
@@ -11,46 +11,44 @@
 
 namespace burlreach {
 
-/** What a caller says of its request besides the request itself. */
+/** What a caller's header fields say about its request. */
 struct CallerWords {
-    std::string requestId; // empty: not given
+    std::string requestId; // empty: none was sent
     std::optional<Milliseconds> timeLeft; // until the caller's deadline
     Credential credential;
-    bool isReadable = true; // false: a field of ours has no valid value
+    bool isReadable = true; // false: a field of the dialect is invalid or a required one is missing
 };
 
-/** What is told to a backend server with an attempt. */
+/** What is sent to a backend server with an attempt, in header fields. */
 struct AttemptWords {
-    std::string backendServer; // any other one must refuse
-    Milliseconds timeLeft;
+    std::string backendServer; // the server that is meant; any other one must refuse the request
+    Milliseconds timeLeft; // until the final answer is due
     CustomerWords customer;
 };
 
-/**
- * The header fields and statuses that callers, instances and backend servers
- * use among themselves.
- */
+/** Reads and writes the header fields and statuses that callers, instances and backend servers exchange. */
 class TrafficDialect {
 public:
     virtual ~TrafficDialect() = default;
 
     virtual CallerWords readCaller(const HttpRequest& request) const = 0;
-    /** True for fields that differ when the same request comes again, such as its id. */
+    /** Returns true for fields whose value changes when a request is repeated, such as its id. */
     virtual bool variesByAttempt(std::string_view field) const = 0;
     virtual void writeAttempt(HttpRequest& request, const AttemptWords& words) const = 0;
     virtual void writeProbe(HttpRequest& request, const std::string& backendServer) const = 0;
 
-    /** True for the dialect's own fields of answers: each is read, or is known to need no reading. */
+    /** Returns true for answer fields that the dialect defines, whether or not their value is used. */
     virtual bool knowsAnswerField(std::string_view field) const = 0;
-    /** False when a backend server's answer belongs to another request. */
+    /** Returns false if a backend server's answer belongs to another request. */
     virtual bool isAnswerTo(const HttpResponse& response, std::string_view requestId) const = 0;
-    /** What the server says of itself in the header of any answer; nothing when another server answered. */
+    /** Reads what the server announces in the header of any answer; the notice is empty if another server answered. */
     virtual ServerNotice readNotice(const HttpResponse& response, std::string_view backendServer) const = 0;
     virtual AttemptEnd readAnswer(const HttpResponse& response, std::string_view backendServer) const = 0;
     virtual ProbeEnd readProbe(const HttpResponse& response, std::string_view backendServer) const = 0;
 
-    /** Adds what callers are told with a backend server's answer. */
+    /** Adds the fields that callers get with a backend server's answer. */
     virtual void writeAnswer(HttpResponse& response) const = 0;
+    /** Makes the answer for a refused request. */
     virtual HttpResponse refusal(const RefuseRequest& refusal, std::string_view requestId) const = 0;
 };
 
--- a/Source/Traffic/UnreadFields.cpp
+++ b/Source/Traffic/UnreadFields.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-/** A server that makes names up must not fill the memory or the log. */
+/** Bounds memory and log lines when a server sends ever new field names. */
 constexpr std::size_t MostNames = 32;
+/** In bytes; names and values are reported up to this length. */
 constexpr std::size_t LongestText = 64;
 
 std::string beginningOf(std::string_view text)
--- a/Source/Traffic/UnreadFields.h
+++ b/Source/Traffic/UnreadFields.h
@@ -8,24 +8,24 @@
 
 namespace burlreach {
 
-/** A field of an answer that nothing here reads. */
+/** An answer field that neither HTTP nor the dialect defines. */
 struct UnreadField {
     std::string name;
-    std::string value; // its beginning
+    std::string value; // possibly truncated
 };
 
 /**
- * Finds fields of backend servers' answers that the dialect does not know. What
- * a server says there of itself is lost, so each name is told once. Fields that
- * HTTP itself defines are passed over.
+ * Finds fields in backend servers' answers that neither HTTP nor the dialect
+ * defines. Whatever a server states in them is ignored, so operators should
+ * learn of them. Each name is returned once.
  */
 class UnreadFields {
 public:
-    /** Those of this header that were not seen before. */
+    /** Returns the unknown fields of this header whose names were not seen before. */
     std::vector<UnreadField> newOnes(const HttpResponse& header, const TrafficDialect& dialect);
 
 private:
-    std::set<std::string, std::less<>> seen; // names as they were spelt
+    std::set<std::string, std::less<>> seen; // names, case-sensitive
 };
 
 }
--- a/Tests/Traffic/BearerKeyTest.cpp
+++ b/Tests/Traffic/BearerKeyTest.cpp
@@ -1,5 +1,6 @@
-// A caller's key must reach no backend server and the name of a customer only
-// by what this instance found. Tables of what callers send, valid and not.
+// A caller's key must not reach a backend server, and the customer's name sent
+// there must be the one that the instance looked up, never one that the caller
+// claimed.
 
 #include "Traffic/BearerKey.h"
 #include "HeaderDialect.h"
@@ -49,7 +50,7 @@
     { "a key of 8 KB", { { "Authorization", "Bearer " + std::string(8192, 'k') } }, Kind::Unreadable },
 };
 
-/** A form in which instances speak to backend servers. */
+/** A dialect and the field in which it names the customer to backend servers. */
 struct Form {
     std::shared_ptr<TrafficDialect> dialect;
     std::string customerField;
--- a/Tests/Traffic/LastingFieldsTest.cpp
+++ b/Tests/Traffic/LastingFieldsTest.cpp
@@ -19,7 +19,7 @@
 
 const Fields Usual{ { "Host", "a.example" }, { "User-Agent", "app/1" }, { "Authorization", "Bearer x" } };
 
-/** A request that comes again, or another one. */
+/** Header fields, and whether the request with them counts as a repetition of the usual one. */
 struct Case {
     const char* name;
     Fields fields;
--- a/Tests/Traffic/NamedLimitTest.cpp
+++ b/Tests/Traffic/NamedLimitTest.cpp
@@ -1,5 +1,3 @@
-// The limit that a backend server names, in odd forms.
-
 #include "Traffic/NamedLimit.h"
 
 #include <optional>
--- a/Tests/Traffic/RequestDeskTest.cpp
+++ b/Tests/Traffic/RequestDeskTest.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-/** Notes what the desk tells the decisions, and answers as a test says. */
+/** Records the posted events and reacts to arrivals as the test says. */
 class NotingSink final : public EventSink {
 public:
     void post(const Event& event) override
@@ -44,12 +44,12 @@
     std::function<void(const RequestArrived&)> onArrival;
 };
 
-/** What a caller sends and what it must get. */
+/** What a caller sends and what it must receive. */
 struct Case {
     const char* name;
     std::string bytes;
     std::size_t arrivals;
-    std::vector<const char*> answers; // found in this order
+    std::vector<const char*> answers; // texts that must occur in what is received, in this order
 };
 
 const std::vector<Case> Cases{
@@ -74,7 +74,7 @@
 
 TEST_GROUP(RequestDesk)
 {
-    /** Paths of small letters may be repeated. */
+    /** Requests to paths of one lower-case letter may be repeated. */
     class SmallLetters final : public RepeatLookup {
     public:
         bool mayRepeat(std::string_view, std::string_view, std::string_view path) const override
@@ -131,7 +131,7 @@
         return socket;
     }
 
-    /** A request for each letter of the paths. */
+    /** One request for each letter. */
     static std::string requestsTo(std::string_view paths)
     {
         std::string bytes;
@@ -140,7 +140,7 @@
         return bytes;
     }
 
-    /** The letters of those that reached the decisions. */
+    /** The path letters of the requests for which an arrival was posted. */
     std::string begun() const
     {
         std::string letters;
@@ -172,7 +172,7 @@
         return { buffer.data(), size };
     }
 
-    /** What comes within a moment. */
+    /** Sends these bytes on a new connection and returns what is received within 60 ms. */
     std::string answersTo(const std::string& bytes)
     {
         asio::ip::tcp::socket socket = this->connect();
@@ -210,24 +210,25 @@
     STRCMP_EQUAL("", this->answersTo("GET /a HTTP/1.1\r\nHost: x\r\n\r\n").c_str());
     this->context.restart();
     this->context.run_for(std::chrono::milliseconds(900));
-    CHECK_TEXT(!this->answersTo("GET /a HTTP/1.1\r\nHost: x\r\n\r\n").empty(), "within the second of their patience");
+    CHECK_TEXT(
+        !this->answersTo("GET /a HTTP/1.1\r\nHost: x\r\n\r\n").empty(), "refused before callers give up after 1 s");
 }
 
-// Sent one behind the other on one connection; which of them reach the decisions while nothing is answered.
+// Pipelined requests on one connection: which of them are started while none has been answered.
 TEST(RequestDesk, BeginsEarlyOnlyWhatMayBeRepeated)
 {
     struct Sent {
         const char* name;
-        const char* paths; // a letter a request; small ones may be repeated
-        const char* begun;
+        const char* paths; // one letter per request; lower-case ones may be repeated
+        const char* begun; // letters of the requests that are started
     };
     const std::vector<Sent> table{
-        { "repeatable ones go side by side", "abc", "abc" },
-        { "a run-once request waits for those ahead of it", "aXb", "a" },
-        { "a run-once request alone begins", "X", "X" },
-        { "a repeatable one need not wait for a run-once request", "Xab", "Xab" },
+        { "repeatable requests start concurrently", "abc", "abc" },
+        { "a run-once request waits for earlier requests", "aXb", "a" },
+        { "a single run-once request starts", "X", "X" },
+        { "repeatable requests do not wait for a run-once request", "Xab", "Xab" },
         { "two run-once requests", "XY", "X" },
-        { "a bounded number", "abcdefghij", "abcdefgh" },
+        { "at most eight at a time", "abcdefghij", "abcdefgh" },
     };
     this->configure();
     for (const Sent& item : table) {
@@ -266,7 +267,8 @@
     LONGS_EQUAL(0, this->desk->openRequests());
 }
 
-// The rest counts as unread for the caller, so nothing of it may have begun.
+// The caller takes requests that are not answered before the close as unread
+// and repeats them, so none of them may have been started.
 TEST(RequestDesk, APlannedStopAnswersWhatHasBegunAndReadsNothingBehindIt)
 {
     this->configure();
@@ -284,7 +286,7 @@
     const std::size_t first = answers.find("HTTP/1.1 503");
     const std::size_t second = answers.find("HTTP/1.1 503", first + 1);
     CHECK(second != std::string::npos);
-    CHECK_TEXT(answers.find("Connection: close") > second, "only the last answer closes");
+    CHECK_TEXT(answers.find("Connection: close") > second, "only the last answer has Connection: close");
     LONGS_EQUAL(0, this->desk->sessions().unfinished());
 }
 
@@ -303,7 +305,7 @@
     CHECK(answers.find("HTTP/1.1 400") != std::string::npos);
 }
 
-// Another connection may be half read meanwhile: an interim answer would be taken for that of the first request.
+// The caller would take an interim answer for the answer to an earlier request that is still unanswered.
 TEST(RequestDesk, NoInterimAnswerBeforeTheAnswersAhead)
 {
     this->configure();
@@ -319,7 +321,7 @@
     CHECK(answers.find("HTTP/1.1 100") != std::string::npos);
 }
 
-// What a caller says of its time counts from when its request was read.
+// A caller's time limit counts from the moment at which its request was read.
 TEST(RequestDesk, TheTimeThatARequestWasHeldBackIsTakenOffItsTimeLeft)
 {
     this->configure();
@@ -374,15 +376,15 @@
         .outcome = RefusedOutcome::NotRun,
         .reason = RefusalReason::NoBackendServer,
         .comeBackAfter = { 250 } });
-    LONGS_EQUAL_TEXT(0, this->desk->openRequests(), "the decisions are done with it");
-    LONGS_EQUAL_TEXT(1, this->desk->sessions().unfinished(), "the caller has not got it");
+    LONGS_EQUAL_TEXT(0, this->desk->openRequests(), "the request is closed");
+    LONGS_EQUAL_TEXT(1, this->desk->sessions().unfinished(), "the caller has not received the answer");
     this->context.restart();
     this->context.run_for(std::chrono::milliseconds(30));
     LONGS_EQUAL(0, this->desk->sessions().unfinished());
 }
 
-// Between the choice of a server and the first byte to it there is a connection
-// to be made, and the server may say meanwhile that it is leaving.
+// A server may announce that it is leaving after it was chosen for a request,
+// while the connection for that request is being made.
 TEST(RequestDesk, WhatIsNotYetWrittenIsNotSentToALeavingServer)
 {
     this->configure();
@@ -405,18 +407,19 @@
     }
 }
 
-// A planned stop beside a busy machine cut two of 16,289 requests.
+// A connection that was made but not yet accepted when a planned stop began
+// was reset together with its request: 2 of 16,289 requests on a busy machine.
 TEST(RequestDesk, AConnectionMadeJustBeforeTheStopStillGetsItsAnswer)
 {
     this->configure();
     this->refuseAll();
     HttpListener& sessions = this->desk->sessions();
     sessions.closeAfterAnswers();
-    // Made, and not yet accepted.
+    // Connected, but not yet accepted.
     asio::ip::tcp::socket socket = this->connect();
     sessions.stopAccepting();
     sessions.closeIdle();
-    LONGS_EQUAL_TEXT(1, sessions.unfinished(), "it may be about to send");
+    LONGS_EQUAL_TEXT(1, sessions.unfinished(), "the caller may be about to send");
     asio::write(socket, asio::buffer(std::string("GET /a HTTP/1.1\r\nHost: x\r\n\r\n")));
     this->context.restart();
     this->context.run_for(std::chrono::milliseconds(60));
@@ -427,7 +430,7 @@
     CHECK(std::string(buffer.data(), size).find("Connection: close") != std::string::npos);
     asio::ip::tcp::socket late(this->context);
     late.connect({ asio::ip::address_v4::loopback(), this->port }, error);
-    CHECK_TEXT(error.value() != 0, "nobody new is taken");
+    CHECK_TEXT(error.value() != 0, "new connections are refused");
 }
 
 TEST(RequestDesk, AStopWaitsForARequestThatIsPartlyRead)
@@ -440,11 +443,11 @@
     this->context.restart();
     this->context.run_for(std::chrono::milliseconds(250));
     this->desk->sessions().closeIdle();
-    LONGS_EQUAL_TEXT(1, this->desk->sessions().unfinished(), "its body is on the way");
+    LONGS_EQUAL_TEXT(1, this->desk->sessions().unfinished(), "the rest of its body may still arrive");
 }
 
-// Beside a busy machine the thread comes late: the request is there, and only
-// the look at idle sessions goes before its reading.
+// On a busy machine the traffic thread may run late: a request has arrived, but
+// idle sessions are closed before it is read.
 TEST(RequestDesk, AStopDoesNotCloseASessionWhoseRequestIsNotYetRead)
 {
     this->configure();
@@ -457,7 +460,7 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(250));
     asio::write(socket, asio::buffer(std::string("GET /a HTTP/1.1\r\nHost: x\r\n\r\n")));
     this->desk->sessions().closeIdle();
-    LONGS_EQUAL_TEXT(1, this->desk->sessions().unfinished(), "its request waits to be read");
+    LONGS_EQUAL_TEXT(1, this->desk->sessions().unfinished(), "its request has arrived but is not read yet");
     this->context.restart();
     this->context.run_for(std::chrono::milliseconds(60));
     std::array<char, 4096> buffer{};
--- a/Tests/Traffic/RetryAfterTest.cpp
+++ b/Tests/Traffic/RetryAfterTest.cpp
@@ -11,14 +11,12 @@
 namespace {
 
 constexpr double Nothing = -1;
-constexpr double Practically = 1e12; // longer than any server lives
+constexpr double Practically = 1e12; // milliseconds; stands for at least that much
 
-/** The value of the field, that of Date, and what is asked for in milliseconds; at least that when it is Practically.
- */
 struct Case {
-    std::string value;
-    const char* date;
-    double expected;
+    std::string value; // of Retry-After
+    const char* date; // value of Date; empty: no such field
+    double expected; // milliseconds
 };
 
 const std::vector<Case> Cases{
--- a/Tests/Traffic/UnreadFieldsTest.cpp
+++ b/Tests/Traffic/UnreadFieldsTest.cpp
@@ -13,8 +13,8 @@
 
 struct Case {
     const char* name;
-    std::vector<const char*> fields; // of one answer, the first of all
-    std::vector<const char*> told;
+    std::vector<const char*> fields; // of the first answer that is seen
+    std::vector<const char*> told; // names that are reported
 };
 
 const std::vector<Case> Cases{
