--- a/Source/Http/AnswerOrder.h
+++ b/Source/Http/AnswerOrder.h
@@ -10,44 +10,45 @@
 
 namespace burlreach {
 
-/** A request of a connection, counted from 1 in the order in which they were read. */
+/** The number of a request within its connection, counted from 1 in the order in which requests are read. */
 using HttpRequestNumber = std::uint64_t;
 
-/** What of a request shapes its answer. */
+/** The properties of a request that determine the form of its answer. */
 struct AnswerForm {
-    unsigned version = 11; // of HTTP, as the parser counts it
-    bool isHead = false; // the answer has no body
-    bool keepsConnection = true; // false: the caller wants no further answer on the connection
+    unsigned version = 11; // of HTTP, as in Boost.Beast: 11 is HTTP/1.1
+    bool isHead = false; // a HEAD request; its answer has no body
+    bool keepsConnection = true; // false: the caller asked to close the connection after the answer
 };
 
-/** Answers that are to be written next. */
+/** Encoded answers that are to be written next. */
 struct ReadyAnswers {
     std::string bytes;
-    bool isLast = false; // the connection ends with them
+    bool isLast = false; // the connection is closed after them
 };
 
 /**
- * Keeps the answers of a connection in the order of its requests, whichever is
- * ready first. Without any input or output.
+ * Puts the answers to the pipelined requests of a connection into the order of
+ * the requests. Does no input or output.
  */
 class AnswerOrder {
 public:
-    /** A request begins, behind all earlier ones. */
+    /** Adds a request after all earlier ones and returns its number. */
     HttpRequestNumber begin(const AnswerForm& form);
-    /** Takes the answer of a request; false when it has one already or was never begun. */
+    /** Stores the answer to a request. Returns false if the request has one already or does not exist. */
     bool put(HttpRequestNumber request, HttpResponse response);
     /**
-     * The answers that no earlier request holds back. When the connection is
-     * to end, the answer of the newest request says so and is the last.
+     * Removes and returns the answers to the oldest requests, up to the first
+     * one without an answer. If endsConnection, the answer to the newest request
+     * gets "Connection: close" and is the last one.
      */
     ReadyAnswers takeReady(bool endsConnection);
 
-    /** Requests begun whose answers were not taken out yet. */
+    /** The number of requests whose answers were not taken yet. */
     std::size_t size() const { return this->places.size(); }
     bool isEmpty() const { return this->places.empty(); }
-    /** Some request has no answer yet. */
+    /** Returns true if a request has no answer yet. */
     bool hasUnanswered() const;
-    /** False when nothing may be read after the newest request. */
+    /** Returns false if the newest request asked to close the connection, so that nothing may be read after it. */
     bool mayBeFollowed() const { return this->places.empty() || this->places.back().form.keepsConnection; }
 
 private:
--- a/Source/Http/HttpConnection.h
+++ b/Source/Http/HttpConnection.h
@@ -9,7 +9,7 @@
 
 namespace burlreach {
 
-/** An open connection to a server, with the bytes that were read too much. */
+/** An open connection to a server. */
 struct HttpConnection {
     explicit HttpConnection(asio::ip::tcp::socket opened)
         : socket(std::move(opened))
@@ -17,12 +17,12 @@
     }
 
     asio::ip::tcp::socket socket;
-    Milliseconds lastUsed; // when its last exchange ended
-    Milliseconds keptFor{ 4000 }; // the server may close it when it has been idle for so long
+    Milliseconds lastUsed; // time at which the last exchange ended
+    Milliseconds keptFor{ 4000 }; // idle time after which the server may close the connection
     unsigned exchanges = 0;
 };
 
-/** True when the server has neither closed an idle connection nor sent anything on it. */
+/** Returns true if the server has neither closed an idle connection nor sent anything on it. */
 bool isQuiet(HttpConnection& connection);
 
 }
--- a/Source/Http/HttpConnectionPool.cpp
+++ b/Source/Http/HttpConnectionPool.cpp
@@ -24,7 +24,7 @@
     auto& connections = found->second;
     while (!connections.empty()) {
         if (this->clock->now() - connections.back()->lastUsed > longestIdle)
-            return nullptr; // those below have been idle for longer
+            return nullptr; // the others have been idle even longer
         std::shared_ptr<HttpConnection> connection = std::move(connections.back());
         connections.pop_back();
         if (this->isUsable(*connection) && isQuiet(*connection))
--- a/Source/Http/HttpConnectionPool.h
+++ b/Source/Http/HttpConnectionPool.h
@@ -12,24 +12,25 @@
 namespace burlreach {
 
 /**
- * Idle connections by the server they lead to. A connection is only given out
- * while it is young enough not to be closed by the server at the same moment,
- * and when nothing has arrived on it meanwhile.
+ * Idle connections, grouped by server. A connection is reused only if nothing
+ * has arrived on it and it was idle for less than a share of the server's
+ * keep-alive time, so that the server is unlikely to close it at that moment.
  */
 class HttpConnectionPool {
 public:
     struct Options {
         std::size_t idlePerServer = 4;
-        double usedShare = 0.7; // of the time that the server keeps a connection
+        double usedShare = 0.7; // of the server's keep-alive time, during which a connection is reused
     };
 
     HttpConnectionPool(Options options, const Clock& clock);
 
-    /** The latest used one that was idle for no longer than this; null when there is none. */
+    /** Returns the most recently used connection if it was idle for at most longestIdle; null if there is none. */
     std::shared_ptr<HttpConnection> take(const std::string& server, Milliseconds longestIdle);
+    /** Adds an idle connection. If the server then has too many, the oldest one is closed. */
     void give(const std::string& server, std::shared_ptr<HttpConnection> connection);
     void closeAll(const std::string& server) { this->idle.erase(server); }
-    /** Closes those that are too old; to be called about once a second. */
+    /** Closes connections that were idle for too long to be reused; to be called about once a second. */
     void tend();
     std::size_t size() const;
 
--- a/Source/Http/HttpExchange.cpp
+++ b/Source/Http/HttpExchange.cpp
@@ -50,7 +50,7 @@
 void HttpExchange::limitTime(Milliseconds span, HttpExchangeResult result)
 {
     this->timer.cancel();
-    // An earlier limit that is already due is called without an error all the same.
+    // Cancelling does not stop a handler that is already queued; the number identifies the timeout in force.
     const unsigned limit = ++this->limitNumber;
     if (span == Never)
         return;
@@ -91,7 +91,7 @@
                 return;
             if (error && !size)
                 return self->finish(HttpExchangeResult::NotSent, std::nullopt);
-            // After another failure the server's answer may still be there to be read.
+            // After any other write error, the server's answer may still be readable.
             self->isWritten = !error;
         });
     this->read();
@@ -115,7 +115,7 @@
             this->limitTime(this->options.timeout, HttpExchangeResult::TimedOut);
         return this->parse();
     }
-    // Only a connection that was closed in order ends an answer without a length.
+    // An answer without a length ends with an orderly close, not with a reset.
     if (error == asio::error::eof && this->finishUnframed())
         return this->answerParsed();
     this->finish(HttpExchangeResult::Broken, std::nullopt);
--- a/Source/Http/HttpExchange.h
+++ b/Source/Http/HttpExchange.h
@@ -17,9 +17,9 @@
 namespace burlreach {
 
 enum class HttpExchangeResult {
-    Answered, // a whole answer
+    Answered, // a complete answer was received
     NotSent, // no byte of the request can have reached the server
-    Broken, // the connection ended before a whole answer, or what came is no answer
+    Broken, // the connection ended before the answer was complete, or the bytes received are no valid answer
     TimedOut
 };
 
@@ -27,30 +27,33 @@
 struct HttpExchangeEnd {
     HttpExchangeResult result = HttpExchangeResult::Broken;
     std::optional<HttpResponse> response;
-    std::shared_ptr<HttpConnection> connection; // to be kept for the next exchange; null: it was closed
+    std::shared_ptr<HttpConnection> connection; // may be reused; null: it was closed
 };
 
 /**
- * One request to a server and its whole answer, on one connection.
+ * Sends one request to a server and receives the whole answer, on one
+ * connection.
  *
- * The connection is kept only after a clean exchange: the request was written
- * whole, the answer was framed, and nothing came behind it.
+ * The connection may be reused only if the request was written whole, the
+ * answer had a length or chunks, no answer to another request was skipped and
+ * no bytes followed the answer.
  */
 class HttpExchange : public std::enable_shared_from_this<HttpExchange> {
 public:
     struct Options {
         NetworkAddress address;
-        std::string request; // its bytes
-        bool isHead = false;
+        std::string request; // encoded
+        bool isHead = false; // a HEAD request; its answer has no body
         Milliseconds connectTimeout{ 250 };
-        Milliseconds timeout = Never; // for the whole exchange
-        bool isTimeoutOfSilence = false; // the time-out begins anew with each byte of the answer
-        std::size_t longestAnswer = 67108864;
-        /** False for an answer that belongs to another request; it is skipped. Empty: all are taken. */
+        Milliseconds timeout = Never; // from the start of writing to the end of the answer
+        bool isTimeoutOfSilence = false; // the timeout starts anew whenever bytes are received
+        std::size_t longestAnswer = 67108864; // bytes of the body
+        /** Returns false for an answer to another request, which is then skipped. If empty, every answer is accepted.
+         */
         std::function<bool(const HttpResponse&)> isOwnAnswer;
         /**
-         * Called once for each answer when its header is there, also for one that is skipped or breaks off later. The
-         * body has not come by then. Empty: nobody asks.
+         * Called once for the header of each answer, before its body is complete. Also called for answers that are
+         * skipped or break off later. May be empty.
          */
         std::function<void(const HttpResponse&)> headerRead;
     };
@@ -58,13 +61,13 @@
 
     HttpExchange(asio::io_context& context, Options options, Completion completion);
 
-    /** Goes over this connection, or over a new one when it is null. */
+    /** Starts the exchange on this connection, or on a new one if it is null. */
     void start(std::shared_ptr<HttpConnection> kept);
     /** Closes the connection; the completion is not called. */
     void cancel();
-    /** False while the connection is being made: no byte of the request has left. */
+    /** Returns false while the connection is being made, when no byte of the request was sent. */
     bool hasBegunWriting() const { return this->writingBegun; }
-    /** Ends it as not sent; only before the writing has begun. */
+    /** Ends the exchange with the result NotSent; has no effect once writing has begun. */
     void endUnsent();
 
 private:
@@ -88,7 +91,7 @@
     Completion completion;
     asio::io_context* context;
     Timer timer;
-    unsigned limitNumber = 0; // the limit in force; earlier ones say nothing
+    unsigned limitNumber = 0; // identifies the timeout in force; expiries of earlier ones are ignored
     std::shared_ptr<HttpConnection> connection;
     std::optional<Parser> parser;
     static constexpr std::size_t ReadSize = 8192;
@@ -97,8 +100,8 @@
     bool writingBegun = false;
     bool isWritten = false;
     bool isReused = false;
-    bool isSkipping = false; // an answer of another request came before
-    bool isHeaderTold = false; // of the answer that is being read
+    bool isSkipping = false; // an answer to another request was skipped
+    bool isHeaderTold = false; // headerRead was called for the answer that is being read
     bool isOver = false;
 };
 
--- a/Source/Http/HttpListener.cpp
+++ b/Source/Http/HttpListener.cpp
@@ -10,15 +10,18 @@
 
 namespace {
 
-/** A session that was idle for less may have a request on its way; after a longer pause no caller is about to connect.
+/**
+ * The caller of a session that was active more recently may be sending a request. If nobody has connected for this
+ * long, no caller is assumed to be connecting.
  */
 constexpr Milliseconds ShortestRest{ 200 };
 
 /**
- * Lets the system drop the segments that begin a connection, and no others. Else
- * one that came up between the last accept and the close would be reset: of
- * 14 runs of 20 ends each beside a busy machine 6 lost one or two connections.
- * Where the system does not offer it that moment stays.
+ * Attaches a socket filter that drops SYN segments and no others, so that no
+ * further connections are established. Without it, a connection established
+ * between the last accept and the close is reset: in 6 of 14 runs of 20 stops
+ * each on a busy machine, one or two connections were lost. If the system does
+ * not support the filter, such resets remain possible.
  */
 void dropOpeningSegments(int listeningSocket)
 {
@@ -70,7 +73,7 @@
 void HttpListener::accept()
 {
     this->acceptor.async_accept(this->caller, [this](const asio::error_code& error, asio::ip::tcp::socket socket) {
-        // It may have been taken just before the listening ended; dropping it would reset it.
+        // Kept even if the listener was closed meanwhile: destroying the socket would reset the connection.
         if (!error)
             this->accepted(std::move(socket), this->caller);
         if (this->acceptor.is_open())
@@ -129,7 +132,7 @@
 
 void HttpListener::stopAccepting()
 {
-    // Closing resets connections that wait to be accepted, with the requests that were sent on them.
+    // Closing the listener would reset connections that wait to be accepted, and lose the requests sent on them.
     this->refuseNew();
     asio::error_code ignored;
     this->acceptor.close(ignored);
--- a/Source/Http/HttpListener.h
+++ b/Source/Http/HttpListener.h
@@ -14,33 +14,39 @@
 
 namespace burlreach {
 
-/** Accepts callers' connections and keeps their sessions, on one thread. */
+/** Accepts callers' connections and keeps track of their sessions, on one thread. */
 class HttpListener {
 public:
     HttpListener(asio::io_context& context, HttpSessionHandler& handler, const Clock& clock);
 
-    /** Callers can connect from now on; they are served once accepting begins. */
+    /** Opens the listening socket. Callers can connect from now on, but are served only after beginAccepting(). */
     std::error_code listen(const NetworkAddress& address);
     void beginAccepting();
+    /** Sets the limits of existing and new sessions. */
     void setLimits(const HttpSessionLimits& next) { this->limits = next; }
+    /** Further connections are closed at once. */
     void setMostSessions(std::size_t most) { this->mostSessions = most; }
     /**
-     * No connection begins any more; those that are coming up still do, and are
-     * taken. Callers are not told, so the listening should end soon.
+     * Drops attempts to connect from now on; connections that are already being
+     * established are accepted. Callers get no error and keep trying, so
+     * stopAccepting() should follow soon.
      */
     void refuseNew();
     bool refusesNew() const { return this->isRefusing; }
-    /** Takes those connections that callers have already made, and ends the listening. */
+    /** Accepts the connections that are already established and closes the listening socket. */
     void stopAccepting();
-    /** Answers from now on are the last ones of their connections. */
+    /** From now on, sessions close their connection after the answer to their newest request. */
     void closeAfterAnswers();
-    /** Closes those that have been idle for a moment; one just made is about to bring a request. */
+    /** Closes sessions that were idle for 200 ms; the caller of a newer one may be about to send a request. */
     void closeIdle();
-    /** Closes slow and idle sessions; to be called about once a second. */
+    /** Closes sessions that exceed their time limits; to be called about once a second. */
     void tend();
-    /** Sessions whose answer is awaited or not yet written whole, and those that may just be sending. */
+    /**
+     * The number of sessions that wait for an answer or are writing one. After
+     * closeAfterAnswers() also counts those whose caller may be sending a request.
+     */
     std::size_t unfinished() const;
-    /** A caller connected a moment ago, and another one may be about to. */
+    /** Returns true if a caller connected within the last 200 ms, so that others may be about to connect. */
     bool isSought() const;
     std::size_t sessions() const { return this->open.size(); }
     std::uint64_t refusedSessions() const { return this->refused; }
@@ -48,20 +54,20 @@
 private:
     void accept();
     void accepted(asio::ip::tcp::socket socket, const asio::ip::tcp::endpoint& from);
-    /** Those that wait to be accepted. */
+    /** Accepts all connections that wait to be accepted, without blocking. */
     void takeWaiting();
     void forgetClosed();
     bool hasRested(const HttpSession& session) const;
 
     asio::ip::tcp::acceptor acceptor;
-    asio::ip::tcp::endpoint caller; // of the connection that comes next
+    asio::ip::tcp::endpoint caller; // address of the connection that is accepted next
     HttpSessionHandler* handler;
     const Clock* clock;
     HttpSessionLimits limits;
     std::size_t mostSessions = 4000;
     std::uint64_t lastNumber = 0;
     std::uint64_t refused = 0;
-    Milliseconds acceptedAt = LongAgo; // the newest session
+    Milliseconds acceptedAt = LongAgo; // time at which the newest session was accepted
     bool closesAfterAnswers = false;
     bool isAccepting = false;
     bool isRefusing = false;
--- a/Source/Http/HttpMessage.cpp
+++ b/Source/Http/HttpMessage.cpp
@@ -37,7 +37,7 @@
     return { text.data(), text.size() };
 }
 
-/** Appends what a serializer gives. */
+/** Returns all bytes that a serializer produces. */
 template <typename Serializer>
 std::string drain(Serializer& serializer)
 {
--- a/Source/Http/HttpMessage.h
+++ b/Source/Http/HttpMessage.h
@@ -8,26 +8,26 @@
 namespace burlreach {
 
 using HttpFields = boost::beast::http::fields;
-/** A whole request; its body is never chunked any more. */
+/** A complete request; a chunked body has been decoded. */
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
-/** A whole answer; its body is never chunked any more. */
+/** A complete answer; a chunked body has been decoded. */
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
-/** The value of a field; empty when it is not there. */
+/** Returns the value of a field, or an empty text if the field is missing. */
 std::string_view valueOf(const HttpFields& fields, std::string_view name);
 void setField(HttpFields& fields, std::string_view name, std::string_view value);
 
-/** True for the fields that concern a single connection. */
+/** Returns true for hop-by-hop fields, which are not forwarded. */
 bool concernsConnection(boost::beast::http::field name);
-/** Removes the fields that concern a single connection, those named by Connection included. */
+/** Removes all hop-by-hop fields, including those named by the field Connection. */
 void removeConnectionFields(HttpFields& fields);
 
-/** The bytes of a message. The body's length is set where the message may have a body. */
+/** Serializes a message. Content-Length is set if the message may have a body. */
 std::string encode(HttpRequest request);
-/** An answer to HEAD keeps the length of its body and loses the body. */
+/** Serializes an answer. An answer to HEAD keeps its Content-Length but not its body. */
 std::string encode(HttpResponse response, bool isAnswerToHead);
 
-/** The seconds of "Keep-Alive: timeout=N"; negative when they are not told. */
+/** Returns the seconds N of "Keep-Alive: timeout=N"; negative if the field or the parameter is missing. */
 double keepAliveSeconds(const HttpFields& fields);
 
 }
--- a/Source/Http/HttpSession.cpp
+++ b/Source/Http/HttpSession.cpp
@@ -9,11 +9,12 @@
 
 namespace http = boost::beast::http;
 
-/** A caller that sends more ahead than this is not read on until it has its answer. */
+/** In bytes. While more is buffered than this, nothing is read from the caller. */
 constexpr std::size_t MostReadAhead = 65536;
 /**
- * Requests of one connection that have begun and whose answers are not written.
- * Bounds what a caller that sends ahead or reads slowly takes from the others.
+ * The number of pipelined requests of one connection that may be in progress or
+ * have an unwritten answer. Bounds the share of the instance's capacity that one
+ * caller can take by pipelining or by reading slowly.
  */
 constexpr std::size_t MostBegun = 8;
 
@@ -165,7 +166,7 @@
 
 void HttpSession::continueIfAsked()
 {
-    // An interim answer would be taken for that of an earlier request.
+    // While an earlier request is unanswered, the caller would take an interim answer for the answer to that request.
     if (this->wasContinued || this->isUnfinished() || !this->parser->is_header_done())
         return;
     this->wasContinued = true;
@@ -212,7 +213,8 @@
     this->lastActive = this->clock->now();
     this->output.clear();
     if (this->isEnding) {
-        // What the caller still sends is read, or closing would reset the answer away.
+        // Closes only the sending side: closing the socket while the caller still sends would reset the connection,
+        // and the caller could lose the answer.
         asio::error_code ignored;
         this->socket.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
     }
--- a/Source/Http/HttpSession.h
+++ b/Source/Http/HttpSession.h
@@ -23,38 +23,42 @@
     Malformed,
     HeaderTooLarge,
     BodyTooLarge,
-    TooSlow // its header was not whole in time
+    TooSlow // the header was not complete within the time limit
 };
 
-/** A whole request of a connection. */
+/** A complete request of a connection. */
 struct ReadRequest {
     HttpRequestNumber number = 0;
     HttpRequest message;
-    Milliseconds readAt; // earlier than now when it had to wait for the answers before it
+    Milliseconds readAt; // time at which it was complete; it may have waited since for the answers to earlier requests
 };
 
-/** Takes what the sessions of a listener read. */
+/** Receives the requests and events of a listener's sessions. */
 class HttpSessionHandler {
 public:
     virtual ~HttpSessionHandler() = default;
-    /** To be answered by answer() with its number; others of the session may be unanswered. */
+    /**
+     * Called for each request; must be answered by HttpSession::answer() with the request's number. Other requests of
+     * the session may still be unanswered.
+     */
     virtual void requestRead(const std::shared_ptr<HttpSession>& session, ReadRequest request) = 0;
-    /** To be answered too; the connection is closed afterwards. */
+    /** Called for an unreadable request. It must be answered too; the connection is closed afterwards. */
     virtual void requestUnreadable(
         const std::shared_ptr<HttpSession>& session, HttpRequestNumber request, HttpRequestProblem problem)
         = 0;
     /**
-     * True when a request that was sent ahead may begin before those ahead of
-     * it are answered. If the connection ends first, its caller sends it again.
+     * Returns true if a pipelined request may be started before earlier
+     * requests of its connection are answered. If the connection ends before its
+     * answer, the caller sends the request again, so it must be repeatable.
      */
     virtual bool mayBeginEarly(const HttpRequest&) const { return false; }
-    /** A connection was closed at once, since too many are open. */
+    /** Called when a connection was closed at once because too many are open. */
     virtual void sessionRefused() { }
-    /** The connection is gone while some of its requests had no answer. */
+    /** Called when a connection was lost while some of its requests had no answer. */
     virtual void callerGone(const std::shared_ptr<HttpSession>& session) = 0;
 };
 
-/** What a caller may send and how long it may take. */
+/** Limits on the size of a caller's requests and on the time that the caller may take. */
 struct HttpSessionLimits {
     std::size_t headerBytes = 8192;
     std::size_t bodyBytes = 1048576;
@@ -63,55 +67,58 @@
 };
 
 /**
- * A caller's connection. Requests that were sent ahead begin side by side as
- * far as the handler allows, up to a bound; their answers go out in the order
- * of the requests. While answers are awaited it goes on reading, to notice
- * that the caller has gone.
+ * A caller's connection.
+ *
+ * Reads requests and passes them to the handler. A pipelined request is passed
+ * on before earlier ones are answered only if the handler allows it and the
+ * number of unfinished requests is below a limit; otherwise it waits. Answers
+ * are written in the order of the requests. Reading goes on while answers are
+ * awaited, to notice when the caller closes the connection.
  */
 class HttpSession : public std::enable_shared_from_this<HttpSession> {
 public:
-    /** A connection that came from a caller's address. */
+    /** An accepted connection and the caller's address. */
     struct Accepted {
         asio::ip::tcp::socket socket;
-        std::string caller; // its address, without the port
+        std::string caller; // the IP address, without the port
     };
 
     HttpSession(Accepted accepted, std::uint64_t number, HttpSessionHandler& handler, const Clock& clock,
         const HttpSessionLimits& limits);
 
     void start();
-    /** Takes the answer of a request; it is written when those ahead of it are. */
+    /** Answers a request. The answer is written once the answers to all earlier requests are. */
     void answer(HttpRequestNumber request, HttpResponse response);
-    /** No request begins from now on behind one that is unanswered; the last answer closes the connection. */
+    /** From now on, no request starts while another is unfinished, and the last answer closes the connection. */
     void closeAfterAnswer() { this->isLast = true; }
     void close();
-    /** Closes the connection when it has been idle or slow for too long. */
+    /** Closes an idle connection, and refuses a request whose header is incomplete, once its time limit has passed. */
     void tend(Milliseconds now);
 
     std::uint64_t number() const { return this->sessionNumber; }
     const std::string& caller() const { return this->callerAddress; }
     bool isOpen() const { return this->socket.is_open(); }
-    /** An answer is awaited or not yet written whole. */
+    /** Returns true while an answer is awaited or being written. */
     bool isUnfinished() const { return !this->answers.isEmpty() || !this->output.empty(); }
-    /** No request is being read, answered or written, and none waits to be read. */
+    /** Returns true if no request is being read or answered and no bytes wait to be read. */
     bool isIdle() const;
-    /** A request may come, or a part of one is there. */
+    /** Returns true while the next request is awaited or being read. */
     bool awaitsRequest() const { return !this->isUnfinished() && !this->isEnding; }
     Milliseconds lastActiveAt() const { return this->lastActive; }
 
 private:
     using Parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
 
-    /** Bytes have come that a late thread has not read yet; closing would reset the connection. */
+    /** Returns true if bytes have arrived that were not read yet; closing the socket would reset the connection. */
     bool hasUnreadBytes() const;
     void newParser();
     void read();
     void received(const asio::error_code& error, std::size_t size);
-    /** Begins requests while some are whole in the input and may begin; goes on reading. */
+    /** Passes complete requests of the input to the handler as far as they may start, then goes on reading. */
     void advance();
-    /** Another request may be read from the input. */
+    /** Returns true if another request may be parsed from the input. */
     bool mayParse() const;
-    /** True when a request became whole. */
+    /** Parses the input; returns true if a request is complete. */
     bool parse();
     bool mayBegin(const HttpRequest& request) const;
     void begin();
@@ -119,7 +126,7 @@
     void continueIfAsked();
     void writeReady();
     void written(const asio::error_code& error);
-    /** Ends the connection for good and tells the handler of requests without an answer. */
+    /** Closes the connection, and tells the handler if a request has no answer. */
     void abandon();
 
     asio::ip::tcp::socket socket;
@@ -130,16 +137,16 @@
     const HttpSessionLimits* limits;
     AnswerOrder answers;
     std::optional<Parser> parser;
-    std::optional<ReadRequest> whole; // read, and not begun yet
+    std::optional<ReadRequest> whole; // complete, but not passed to the handler yet
     static constexpr std::size_t ReadSize = 8192;
     std::array<char, ReadSize> chunk{};
     std::string input; // read, not yet parsed
     std::string output;
-    bool isReading = false; // a read is under way
-    bool isLast = false; // the newest request is the last one
-    bool isEnding = false; // the last answer is being written or was
-    bool wasContinued = false;
-    Milliseconds requestBegan = Never; // first byte of the request that is being read
+    bool isReading = false; // an asynchronous read is in progress
+    bool isLast = false; // the connection is closed after the answer to the newest request
+    bool isEnding = false; // the last answer was written or is being written
+    bool wasContinued = false; // "Expect: 100-continue" of the current request was handled
+    Milliseconds requestBegan = Never; // time of the first byte of the request that is being read
     Milliseconds lastActive;
 };
 
--- a/Source/Http/OpenConnection.h
+++ b/Source/Http/OpenConnection.h
@@ -9,10 +9,10 @@
 
 namespace burlreach {
 
-/** The connection, or why there is none; asio::error::operation_aborted when it did not come up in time. */
+/** Called with the connection, or with an error: asio::error::operation_aborted if it was not made in time. */
 using ConnectionOpened = std::function<void(const asio::error_code&, std::shared_ptr<HttpConnection>)>;
 
-/** Opens a connection to a server without a request. */
+/** Opens a connection to a server without sending a request. */
 void openConnection(
     asio::io_context& context, const NetworkAddress& address, Milliseconds timeout, ConnectionOpened opened);
 
--- a/Tests/Http/AnswerOrderTest.cpp
+++ b/Tests/Http/AnswerOrderTest.cpp
@@ -10,14 +10,16 @@
 
 namespace {
 
-/** Something that happens to the answers of a connection. */
 struct Step {
-    char what; // b: a request begins, c: one after which the caller wants to close, p: its answer comes, e: as p, the
-               // connection is to end
+    /**
+     * b: a request begins, c: a request begins that asks to close the connection, p: the request is answered, e: the
+     * request is answered and the connection is to be closed.
+     */
+    char what;
     HttpRequestNumber request;
 };
 
-/** Steps, and the bodies that may then be written, in their order; '|' stands for the end of the connection. */
+/** Steps, and the bodies that are then written, in this order; '|' stands for the end of the connection. */
 struct Case {
     const char* name;
     std::vector<Step> steps;
@@ -46,7 +48,7 @@
     return response;
 }
 
-/** The digits of the bodies, and whether each says that the connection goes on. */
+/** The digits of the bodies, followed by '|' if the connection ends. Checks that Connection: close agrees with that. */
 std::string summaryOf(const ReadyAnswers& ready)
 {
     std::string summary;
--- a/Tests/Http/HttpExchangeTest.cpp
+++ b/Tests/Http/HttpExchangeTest.cpp
@@ -17,12 +17,12 @@
 
 namespace {
 
-/** What a server sends as soon as it has read a request, and how it goes on. */
+/** What a server sends as soon as it has read a request, and what it does afterwards. */
 struct Script {
     std::string bytes;
     bool closes = false;
     bool resets = false;
-    std::chrono::milliseconds afterEachByte{ 0 }; // a pause
+    std::chrono::milliseconds afterEachByte{ 0 }; // pause after each byte that is sent
 };
 
 /** Accepts one connection and follows its script. */
@@ -53,11 +53,11 @@
         if (this->script.resets)
             socket.set_option(asio::socket_base::linger(true, 0), ignored);
         if (this->script.closes || this->script.resets) {
-            // The destructor would undo the linger option.
+            // Closed here because the socket's destructor would undo the linger option.
             socket.close(ignored);
             return;
         }
-        // Until the other side closes.
+        // Wait until the other side closes the connection.
         socket.read_some(asio::buffer(buffer), ignored);
     }
 
@@ -96,17 +96,18 @@
 constexpr HttpExchangeResult Broken = HttpExchangeResult::Broken;
 
 const std::vector<Case> Cases{
-    { "a whole answer", { Ok }, Answered, "hi", true },
+    { "a complete answer", { Ok }, Answered, "hi", true },
     { "in chunks",
         { "HTTP/1.1 200 OK\r\nRequest-Id: r\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nh\r\n1\r\ni\r\n0\r\n\r\n" },
         Answered, "hi", true },
-    { "that closes", { "HTTP/1.1 200 OK\r\nRequest-Id: r\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi" },
-        Answered, "hi", false },
-    { "with bytes behind it", { Ok + "garbage" }, Answered, "hi", false },
-    { "with a second answer behind it", { Ok + Ok }, Answered, "hi", false },
-    { "behind an answer of another request", { Foreign + Ok }, Answered, "hi", false },
-    { "behind an interim one", { "HTTP/1.1 100 Continue\r\n\r\n" + Ok }, Answered, "hi", true },
-    { "without a length, ended in order", { Unframed, true, false }, Answered, "hi", false },
+    { "with Connection: close",
+        { "HTTP/1.1 200 OK\r\nRequest-Id: r\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi" }, Answered, "hi",
+        false },
+    { "followed by other bytes", { Ok + "garbage" }, Answered, "hi", false },
+    { "followed by a second answer", { Ok + Ok }, Answered, "hi", false },
+    { "after an answer to another request", { Foreign + Ok }, Answered, "hi", false },
+    { "after an interim answer", { "HTTP/1.1 100 Continue\r\n\r\n" + Ok }, Answered, "hi", true },
+    { "without a length, orderly close", { Unframed, true, false }, Answered, "hi", false },
     { "without a length, reset", { Unframed, false, true }, Broken, "", false },
     { "cut in its body", { "HTTP/1.1 200 OK\r\nRequest-Id: r\r\nContent-Length: 9\r\n\r\nhi", true, false }, Broken, "",
         false },
@@ -114,10 +115,10 @@
         { "HTTP/1.1 200 OK\r\nRequest-Id: r\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", true, false }, Broken,
         "", false },
     { "cut in its header", { "HTTP/1.1 200 OK\r\nRequ", true, false }, Broken, "", false },
-    { "closed without a word", { "", true, false }, Broken, "", false },
+    { "closed without an answer", { "", true, false }, Broken, "", false },
     { "no HTTP at all", { "\x01\x02\x03 not an answer\r\n\r\n" }, Broken, "", false },
-    { "only one of another request", { Foreign, true, false }, Broken, "", false },
-    { "silence", { "" }, HttpExchangeResult::TimedOut, "", false },
+    { "only an answer to another request", { Foreign, true, false }, Broken, "", false },
+    { "no answer", { "" }, HttpExchangeResult::TimedOut, "", false },
 };
 
 bool isOwn(const HttpResponse& response)
@@ -172,7 +173,7 @@
 
 TEST(HttpExchange, AConnectTimeoutThatIsDueTogetherWithTheConnectionEndsNothing)
 {
-    // A busy process finds both in one look at its events.
+    // In a busy process both events can be ready in the same poll.
     const ScriptedServer server({ Ok });
     asio::io_context context;
     HttpExchangeResult result = HttpExchangeResult::Broken;
@@ -191,7 +192,7 @@
     CHECK(result == HttpExchangeResult::Answered);
 }
 
-// A large answer over a busy link: its bytes come for longer than any silence that is borne.
+// A large answer over a busy link may take longer than the timeout while bytes keep arriving.
 TEST(HttpExchange, ATimeoutOfSilenceBeginsAnewWithEachByte)
 {
     for (const bool isOfSilence : { true, false }) {
@@ -260,7 +261,7 @@
             std::this_thread::sleep_for(std::chrono::milliseconds(20));
         }
         CHECK((pool.take("s", Never) != nullptr) == !sends);
-        CHECK_TEXT(!pool.take("s", Never), "given out once");
+        CHECK_TEXT(!pool.take("s", Never), "a connection is taken only once");
     }
 }
 
--- a/Tests/Http/HttpListenerTest.cpp
+++ b/Tests/Http/HttpListenerTest.cpp
@@ -32,7 +32,7 @@
     void sessionRefused() override { }
 };
 
-/** Callers that make one connection after the other and send a request on each. */
+/** Callers that make one connection after another, send a request on each and wait for its answer. */
 class Hammer {
 public:
     Hammer(std::uint16_t givenPort, std::size_t threads)
@@ -46,7 +46,7 @@
     Hammer(const Hammer&) = delete;
     Hammer& operator=(const Hammer&) = delete;
 
-    /** No further calls; those under way go on. */
+    /** Starts no further calls; those in progress continue. */
     void finish() { this->isOver = true; }
 
     void stop()
@@ -68,7 +68,7 @@
             this->call();
     }
 
-    /** Allocates nothing: the runner's leak check is for one thread. */
+    /** Allocates nothing, because the test runner's leak check supports one thread only. */
     void call()
     {
         const int handle = socket(AF_INET, SOCK_STREAM, 0);
@@ -80,7 +80,7 @@
 
     void callOn(int handle)
     {
-        // A connection that does not come up is no loss.
+        // A connection that is not established is not counted as lost.
         const timeval patience{ .tv_sec = 0, .tv_usec = 100000 };
         setsockopt(handle, SOL_SOCKET, SO_SNDTIMEO, &patience, sizeof patience);
         setsockopt(handle, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
@@ -105,8 +105,8 @@
 };
 
 /**
- * Callers that connect and send without waiting for an answer: they never stand
- * still while the listener looks at those that wait.
+ * Callers that connect and send without waiting for answers, so that new
+ * connections arrive all the time while the listener stops.
  */
 class Rush {
 public:
@@ -122,7 +122,7 @@
     Rush& operator=(const Rush&) = delete;
 
     void begin() { this->isBegun = true; }
-    /** No further callers; those that have sent wait for their answers. */
+    /** Starts no further connections; callers that have sent a request wait for its answer. */
     void cease() { this->isOver = true; }
 
     void stop()
@@ -135,14 +135,14 @@
     }
 
     std::size_t answered() const { return this->answers; }
-    /** Connections that came up and ended, or said nothing for the patience, without an answer. */
+    /** The number of established connections that were closed or stayed silent for 5 s without an answer. */
     std::size_t lost() const { return this->losses; }
 
 private:
     static constexpr std::size_t MostOfOne = 400;
     static constexpr timeval Patience{ .tv_sec = 5, .tv_usec = 0 };
 
-    /** Allocates nothing: the runner's leak check is for one thread. */
+    /** Allocates nothing, because the test runner's leak check supports one thread only. */
     void run()
     {
         std::array<int, MostOfOne> handles{};
@@ -162,7 +162,7 @@
         }
     }
 
-    /** Negative when the connection did not come up, which is no loss. */
+    /** Returns a negative value if the connection was not established, which is not counted as lost. */
     int connectAndSend() const
     {
         const int handle = socket(AF_INET, SOCK_STREAM, 0);
@@ -201,9 +201,9 @@
 
 TEST_GROUP(HttpListener){};
 
-// The soak beside a busy machine: one of 12,000 callers had its connection
-// reset right after it was made, between the last look at those that wait and
-// the end of the listening.
+// A connection that is established between the last accept and the close of the
+// listening socket was reset: 1 of 12,000 callers of a soak test on a busy
+// machine.
 TEST(HttpListener, AStopResetsNoConnectionThatWasMade)
 {
     constexpr int rounds = 20;
@@ -212,7 +212,7 @@
     constexpr std::size_t enough = 1000;
     std::size_t answered = 0;
     std::size_t lost = 0;
-    // Beside a busy machine a round holds few calls: more rounds then.
+    // On a busy machine a round has few calls, so more rounds are run.
     for (int round = 0; round < rounds || (answered <= enough && round < mostRounds); ++round) {
         asio::io_context context;
         const SteadyClock clock;
@@ -238,9 +238,9 @@
     LONGS_EQUAL(0, lost);
 }
 
-// The soak, beside a busy machine: a caller connected 10 ms after the lead of a
-// planned stop, and its connection was reset unread. As long as callers come,
-// the listening goes on.
+// In a soak test on a busy machine, a caller connected 10 ms after the lead time
+// of a planned stop, and its connection was reset unread. The listener must stay
+// open as long as callers connect.
 TEST(HttpListener, APlannedStopResetsNoCallerThatComesLate)
 {
     constexpr int rounds = 20;
