--- a/Source/Operators/InstanceReader.h
+++ b/Source/Operators/InstanceReader.h
@@ -6,7 +6,7 @@
 
 namespace burlreach {
 
-/** What operators may see of this instance; safe from any thread. */
+/** Gives operators read access to the state of this instance; safe to call from any thread. */
 class InstanceReader {
 public:
     virtual ~InstanceReader() = default;
@@ -17,7 +17,7 @@
     virtual v1::ShowCustomerAnswer showCustomer(const std::string& customer) const = 0;
     virtual v1::ShowCrashingRequestsAnswer showCrashingRequests() const = 0;
     virtual bool isReady() const = 0;
-    /** Counters and histograms in the text exposition format. */
+    /** Returns counters and histograms in the Prometheus text exposition format. */
     virtual std::string metricsText() const = 0;
 };
 
--- a/Source/Operators/MessageCodec.cpp
+++ b/Source/Operators/MessageCodec.cpp
@@ -19,11 +19,12 @@
     if (asProtobuf)
         return message.ParseFromString(text)
             ? std::nullopt
-            : std::optional<std::string>("is not this message in protobuf; build it from operators.proto");
+            : std::optional<std::string>(
+                "is not a valid protobuf encoding of this message; encode it according to operators.proto");
     const auto status = google::protobuf::util::JsonStringToMessage(text, &message);
     if (status.ok())
         return std::nullopt;
-    return std::string(status.message()) + "; write the JSON mapping of the message in operators.proto";
+    return std::string(status.message()) + "; use the JSON mapping of the message in operators.proto";
 }
 
 std::string encodeMessage(const google::protobuf::Message& message, bool asProtobuf)
--- a/Source/Operators/OperatorServer.cpp
+++ b/Source/Operators/OperatorServer.cpp
@@ -11,11 +11,11 @@
 constexpr int StatusUnavailable = 503;
 constexpr std::size_t MaximumCallBytes = 1048576;
 constexpr const char* TextType = "text/plain; charset=utf-8";
-/** Longer than the decisions ever take; a safety net. */
+/** Timeouts for the control thread's answer; it is expected to answer much earlier. */
 constexpr Milliseconds LongestChange{ 20000 };
 constexpr Milliseconds LongestInquiry{ 5000 };
 
-/** A list of findings in the shape that every answer shares. */
+/** Answers with a ChangeAnswer that holds one finding; in JSON, all answers list their findings under this name. */
 void answerFinding(httplib::Response& response, int status, std::string_view place, std::string_view message)
 {
     v1::ChangeAnswer answer;
@@ -84,7 +84,7 @@
         const std::string type = request.get_header_value("Content-Type");
         if (!isKnownType(type))
             return answerFinding(response, StatusUnsupportedType, "Content-Type",
-                "is not known; send application/json or application/x-protobuf");
+                "is not supported; send application/json or application/x-protobuf");
         const bool asProtobuf = isProtobufType(type);
         Request message;
         if (const auto problem = decodeMessage(request.body, asProtobuf, message))
--- a/Source/Operators/OperatorServer.h
+++ b/Source/Operators/OperatorServer.h
@@ -15,10 +15,7 @@
 
 namespace burlreach {
 
-/**
- * Serves the operators' calls of operators.proto, and the pages /live, /ready
- * and /metrics.
- */
+/** Serves the operators' calls of operators.proto and the pages /live, /ready and /metrics over HTTP. */
 class OperatorServer {
 public:
     OperatorServer(NetworkAddress address, const InstanceReader& reader, EventSink& sink);
--- a/Source/Operators/PendingCalls.h
+++ b/Source/Operators/PendingCalls.h
@@ -13,10 +13,14 @@
 
 namespace burlreach {
 
-/** Operators' calls that wait for the answer of the decisions. */
+/**
+ * Operators' calls that wait for an answer. The threads of the operators' server
+ * wait, and the control thread answers.
+ */
 template <typename Answer>
 class PendingCalls {
 public:
+    /** Registers a call and returns its number. */
     OperatorCallNumber begin()
     {
         const std::lock_guard lock(this->mutex);
@@ -33,13 +37,13 @@
         this->changed.notify_all();
     }
 
-    /** Nothing when no answer came in time. */
+    /** Waits for the answer and removes the call. Returns nothing if no answer arrives within the time limit. */
     std::optional<Answer> wait(OperatorCallNumber call, Milliseconds longest)
     {
         std::unique_lock lock(this->mutex);
         const auto found = this->answers.find(call);
         const Milliseconds end = this->clock.now() + longest;
-        // In short waits: the one of the library stands still while the machine is suspended.
+        // Waits in short steps, because the library's clock stands still while the computer is suspended.
         while (!found->second && this->clock.now() < end)
             this->changed.wait_for(lock, toDuration(std::min(LongestWait, end - this->clock.now())));
         std::optional<Answer> answer = std::move(found->second);
--- a/Source/Peers/Http2Session.cpp
+++ b/Source/Peers/Http2Session.cpp
@@ -10,12 +10,12 @@
 
 constexpr std::uint32_t ConcurrentStreams = 1000;
 constexpr std::uint32_t WindowBytes = 4194304;
-constexpr std::size_t MostOutputBytes = 65536;
+constexpr std::size_t MostOutputBytes = 65536; // collected for one write
 
 nghttp2_nv header(std::string_view name, std::string_view value)
 {
     nghttp2_nv pair{};
-    // nghttp2 copies both and changes neither.
+    // The casts are safe because nghttp2 copies the name and the value and modifies neither.
     pair.name = reinterpret_cast<std::uint8_t*>(const_cast<char*>(name.data()));
     pair.namelen = name.size();
     pair.value = reinterpret_cast<std::uint8_t*>(const_cast<char*>(value.data()));
--- a/Source/Peers/Http2Session.h
+++ b/Source/Peers/Http2Session.h
@@ -15,15 +15,16 @@
 
 namespace burlreach {
 
-/** The largest message that one instance takes from another. */
+/** The largest message that instances send to each other and accept. */
 inline constexpr std::size_t MaximumPeerMessageBytes = 2097152;
 
-/** The path under which messages of this version are sent. */
+/** The request path of messages of this protocol version. */
 inline constexpr std::string_view PeerMessagePath = "/burlreach.peers.v1";
 
 /**
- * One connection between two instances: a stream of nghttp2 for each message,
- * moved by Asio. Lives as long as something is read or written on it.
+ * An HTTP/2 connection between two instances: nghttp2 does the framing, Asio the
+ * input and output. Each message is the body of a request on a stream of its
+ * own. Pending reads and writes keep the session alive.
  */
 class Http2Session : public std::enable_shared_from_this<Http2Session> {
 public:
@@ -37,15 +38,17 @@
     Http2Session(const Http2Session&) = delete;
     Http2Session& operator=(const Http2Session&) = delete;
 
-    /** Sends the settings and begins to read. */
+    /** Sends the HTTP/2 settings and starts to read. */
     void open();
     void close();
     bool isOpen() const { return this->socket.is_open() && !this->closed; }
 
 protected:
-    /** Sends a request with this body; streamClosed() tells of its end. */
+    /** Sends a request with this body; streamClosed() is called when it has ended. */
     void submitMessage(std::string body);
+    /** Sends an answer with this status and no body. */
     void submitStatus(std::int32_t stream, std::string_view status);
+    /** The number of requests sent whose streams are still open. */
     std::size_t openStreams() const { return this->bodies.size(); }
 
     virtual void bodyReceived(std::int32_t stream, std::span<const std::uint8_t> part) = 0;
@@ -56,11 +59,11 @@
     asio::ip::tcp::socket socket;
 
 private:
-    /** What is still to be sent of a message. */
+    /** A message that was submitted and its progress; kept until its stream is closed. */
     struct Body {
         std::int32_t stream = 0;
         std::string bytes;
-        std::size_t sent = 0;
+        std::size_t sent = 0; // bytes passed to nghttp2
     };
 
     static int onData(nghttp2_session* session, std::uint8_t flags, std::int32_t stream, const std::uint8_t* data,
--- a/Source/Peers/PeerClient.h
+++ b/Source/Peers/PeerClient.h
@@ -10,13 +10,14 @@
 
 namespace burlreach {
 
-/** Sends messages to other instances, on the control thread. */
+/** Sends messages to other instances over one PeerLink for each address, on the control thread. */
 class PeerClient {
 public:
     PeerClient(asio::io_context& context, const Clock& clock, TrafficMetrics& metrics);
 
+    /** Sends a message, or drops and counts it if it is too large. */
     void send(const NetworkAddress& address, const peers::PeerMessage& message);
-    /** To be called a few times a second. */
+    /** Closes and removes links that have been idle for too long; to be called a few times a second. */
     void tend();
     void close();
 
--- a/Source/Peers/PeerClientSession.h
+++ b/Source/Peers/PeerClientSession.h
@@ -4,12 +4,13 @@
 
 namespace burlreach {
 
-/** A connection on which this instance sends its messages. */
+/** A connection on which this instance sends messages to another one. */
 class PeerClientSession final : public Http2Session {
 public:
     using Http2Session::Http2Session;
 
     void send(std::string message) { this->submitMessage(std::move(message)); }
+    /** The number of messages that were sent and are not acknowledged yet. */
     std::size_t unanswered() const { return this->openStreams(); }
 
 private:
--- a/Source/Peers/PeerLink.h
+++ b/Source/Peers/PeerLink.h
@@ -15,40 +15,49 @@
 namespace burlreach {
 
 /**
- * The way to one other instance. Connects when there is something to send and
- * closes when idle. Every message has a deadline: what cannot be delivered in
- * time is dropped and counted, and its sender asks again.
+ * Sends messages to one other instance. Connects when there is something to
+ * send, closes the connection when idle, and queues messages while there is no
+ * connection. A message that cannot be sent before its deadline is dropped and
+ * counted; whoever needs its answer must send it again.
  */
 class PeerLink : public std::enable_shared_from_this<PeerLink> {
 public:
     struct Options {
         Milliseconds messageDeadline{ 2000 };
-        Milliseconds reconnectGap{ 200 };
-        /** A machine that is dark says nothing, and the system would try again only after a second. */
+        Milliseconds reconnectGap{ 200 }; // shortest time from one attempt to connect to the next
+        /** A computer that is powered off does not refuse connections, and TCP repeats its SYN only after 1 s. */
         Milliseconds connectTimeout{ 250 };
-        Milliseconds idle{ 15000 };
-        std::size_t mostWaiting = 512;
+        Milliseconds idle{ 15000 }; // without a message to send; then the connection is closed
+        std::size_t mostWaiting = 512; // messages; the oldest one is dropped when there are more
     };
 
     PeerLink(asio::io_context& context, const Clock& clock, NetworkAddress address, Options options,
         TrafficMetrics& metrics);
 
+    /** Sends a message, or queues it until there is a connection. */
     void send(std::string message);
-    /** Drops what is late and closes what is idle; false when it can be forgotten. */
+    /**
+     * Drops queued messages whose deadline has passed, and closes a connection that is idle or whose messages are not
+     * acknowledged in time. Returns false if the link is idle and can be removed.
+     */
     bool tend();
     void close();
 
 private:
+    /** A queued message. */
     struct Waiting {
         std::string message;
         Milliseconds deadline;
     };
 
+    /** Starts an attempt to connect, unless one is in progress or the last one started less than reconnectGap ago. */
     void connect();
-    /** Ends a connecting that takes too long, and begins another one while there is something to send. */
+    /** Closes the socket if the attempt to connect exceeds its timeout. */
     void watchConnecting(const std::shared_ptr<asio::ip::tcp::socket>& socket);
+    /** Schedules another attempt to connect if messages are queued. */
     void connectAgain();
     void connected();
+    /** Drops the oldest queued messages. */
     void drop(std::size_t count);
 
     asio::io_context* context;
@@ -60,9 +69,9 @@
     std::deque<Waiting> waiting;
     Timer connectTimer;
     bool isConnecting = false;
-    Milliseconds nextConnect = LongAgo;
+    Milliseconds nextConnect = LongAgo; // earliest time of the next attempt to connect
     Milliseconds lastSend;
-    Milliseconds lastAnswered;
+    Milliseconds lastAnswered; // last time at which no message was unacknowledged
 };
 
 }
--- a/Source/Peers/PeerMessageHandler.h
+++ b/Source/Peers/PeerMessageHandler.h
@@ -4,7 +4,7 @@
 
 namespace burlreach {
 
-/** Takes the messages of other instances. */
+/** Receives the messages of other instances. */
 class PeerMessageHandler {
 public:
     virtual ~PeerMessageHandler() = default;
--- a/Source/Peers/PeerServer.h
+++ b/Source/Peers/PeerServer.h
@@ -13,7 +13,7 @@
 
 namespace burlreach {
 
-/** Takes connections from other instances, on the control thread. */
+/** Accepts connections from other instances, on the control thread. */
 class PeerServer {
 public:
     PeerServer(asio::io_context& context, PeerMessageHandler& handler, TrafficMetrics& metrics);
--- a/Source/Peers/PeerServerSession.h
+++ b/Source/Peers/PeerServerSession.h
@@ -7,7 +7,10 @@
 
 namespace burlreach {
 
-/** A connection on which another instance sends its messages. */
+/**
+ * A connection on which another instance sends its messages. Acknowledges a
+ * readable message with status 204 and refuses any other with 400.
+ */
 class PeerServerSession final : public Http2Session {
 public:
     PeerServerSession(asio::ip::tcp::socket socket, PeerMessageHandler& handler, TrafficMetrics& metrics);
@@ -20,8 +23,8 @@
 
     PeerMessageHandler* handler;
     TrafficMetrics* metrics;
-    std::unordered_map<std::int32_t, std::string> received;
-    std::size_t receivedBytes = 0; // of all messages that are not yet whole
+    std::unordered_map<std::int32_t, std::string> received; // bytes of the messages, by stream
+    std::size_t receivedBytes = 0; // of all open streams together; bounded by MaximumPeerMessageBytes
 };
 
 }
--- a/Source/StoreClient/HttpStoreClient.cpp
+++ b/Source/StoreClient/HttpStoreClient.cpp
@@ -35,7 +35,7 @@
     options.request = encode(std::move(message));
     options.connectTimeout = ConnectTimeout;
     options.timeout = request.timeout;
-    // A large reading goes on while bytes come: to ask again would make a busy link busier.
+    // A large answer may take long as long as bytes arrive: repeating the call would load a busy link even more.
     options.isTimeoutOfSilence = true;
     const auto exchange = std::make_shared<HttpExchange>(*this->context, std::move(options),
         [this, request](HttpExchangeEnd end) { this->ended(request, std::move(end)); });
@@ -51,7 +51,7 @@
     answer.status = statusOf(end.result);
     if (end.response)
         answer = this->wire->decode(request, *end.response);
-    // A call that was turned away may find other luck on another connection.
+    // After a refusal the connection is not reused: the next call may reach a store that accepts it.
     if (end.connection && answer.status != StoreStatus::Unknown && answer.status != StoreStatus::Refused)
         this->connections.give(PoolKey, std::move(end.connection));
     ++this->callCounts.at(static_cast<std::size_t>(request.operation)).at(static_cast<std::size_t>(answer.status));
--- a/Source/StoreClient/HttpStoreClient.h
+++ b/Source/StoreClient/HttpStoreClient.h
@@ -16,20 +16,23 @@
 
 namespace burlreach {
 
-/** How many calls of each kind ended how. */
+/** The number of calls by operation and status. */
 using StoreCallCounts = std::array<std::array<std::atomic<std::uint64_t>, StoreStatusCount>, StoreOperationCount>;
 
 /**
- * Calls the store over HTTP, on the control thread. A connection on which an
- * answer did not come is never used again.
+ * Calls the store over HTTP, on the control thread. A connection is reused only
+ * after a readable answer that was no refusal.
  */
 class HttpStoreClient {
 public:
     HttpStoreClient(asio::io_context& context, const NetworkAddress& address, const StoreWire& wire, const Clock& clock,
         EventSink& sink);
 
+    /** Starts a call; its result is posted as StoreAnswered. */
     void ask(const StoreRequest& request);
+    /** Closes expired idle connections. */
     void tend() { this->connections.tend(); }
+    /** Cancels all calls; no further results are posted. */
     void stop();
     const StoreCallCounts& counts() const { return this->callCounts; }
 
--- a/Source/StoreClient/StoreWire.h
+++ b/Source/StoreClient/StoreWire.h
@@ -5,12 +5,12 @@
 
 namespace burlreach {
 
-/** The form in which the store is called. */
+/** Encodes calls to the store as HTTP requests and decodes the answers. */
 class StoreWire {
 public:
     virtual ~StoreWire() = default;
     virtual HttpRequest encode(const StoreRequest& request) const = 0;
-    /** An answer that cannot be read leaves the outcome unknown. */
+    /** An unreadable answer results in StoreStatus::Unknown. */
     virtual StoreAnswer decode(const StoreRequest& request, const HttpResponse& response) const = 0;
 };
 
--- a/Tests/Peers/PeerLinkTest.cpp
+++ b/Tests/Peers/PeerLinkTest.cpp
@@ -16,7 +16,7 @@
 
 using asio::ip::tcp;
 
-/** Connections that nobody accepts, until the system drops those that would be one too many. */
+/** A listener whose backlog is full, so that the system drops the SYN segments of further connections. */
 class FullListener {
 public:
     explicit FullListener(asio::io_context& context)
@@ -33,7 +33,7 @@
 
     std::uint16_t port() const { return this->acceptor.local_endpoint().port(); }
 
-    /** Accepts all that come from now on; counts those that send something. */
+    /** Accepts all connections from now on and counts those on which something is received. */
     void open()
     {
         this->acceptor.async_accept([this](const asio::error_code& error, tcp::socket socket) {
@@ -60,9 +60,9 @@
 
 TEST_GROUP(PeerLink){};
 
-// All instances begin after a loss of power, some a moment before their seeds:
-// what is sent to a machine that is still dark is lost without a word, and the
-// system sends it again after a second.
+// After a power failure, some instances start a moment before their seeds. A SYN
+// to a computer that is still off is lost without an error, and TCP repeats it
+// only after 1 s.
 TEST(PeerLink, AMachineThatWasDarkIsReachedWithinHalfASecond)
 {
     asio::io_context context;
