--- a/Tests/Platform/AskedPausesTest.cpp
+++ b/Tests/Platform/AskedPausesTest.cpp
@@ -1,10 +1,7 @@
-// Seen in the platform's pages, not yet on a day: a backend server that turns a
-// request away with 503 may say with Retry-After for how long it wants nothing
-// from the instance that it answered. The instance sent it the same request
-// three more times, and 5 of the next 5.
-// Cause: the header dialect read nothing of the kind, and no part of the
-// decisions knew of a pause: a refusal rests a server for 10 to 320 ms.
-// Proof: this test on the code before, over real connections.
+// A backend server that refuses a request with 503 may say in Retry-After for how
+// long it wants no requests from this instance. An instance that ignores the
+// field only backs off for 10 to 320 ms after a refusal: it sent the server the
+// same request three more times, and then 5 of the next 5 requests.
 
 #include "Tests/Platform/LoopbackInstance.h"
 #include "Tests/Platform/ScriptedServer.h"
@@ -22,10 +19,10 @@
 
 namespace {
 
-/** A request that cannot be served is refused within this: one that waits does so for 330 ms, 0.22 of the target. */
+/** Upper bound for a refusal without waiting; a request that waits does so for 330 ms, 0.22 of the target latency. */
 constexpr Milliseconds AtOnce{ 150 };
 
-/** By its figures the better choice. */
+/** Reports less load than busyAnswer, so that its server is preferred. */
 std::string freeAnswer(const ScriptedRequest& request)
 {
     return scriptedAnswer(request, 200, "Instance-Id: i-a\r\nInstance-Load: 0,0,3,100\r\n");
@@ -36,7 +33,7 @@
     return scriptedAnswer(request, 200, "Instance-Load: 1,0,3,150\r\n");
 }
 
-/** Turns a request away with these further fields. */
+/** Refuses a request; the answer has these further fields. */
 std::string turnedAway(const ScriptedRequest& request, const std::string& fields)
 {
     return scriptedAnswer(request, 503, "Not-Executed: 1\r\n" + fields);
@@ -47,34 +44,32 @@
     return "Retry-After: " + value + "\r\n";
 }
 
-/** What a server asks for, and whether it is left alone so long after that; refusals alone rest it for 320 ms at most.
- */
 struct Case {
     const char* name;
-    std::string fields;
-    Milliseconds after;
-    bool isLeftAlone;
+    std::string fields; // of the server's refusal
+    Milliseconds after; // time since the refusal; without a requested pause, the back-off lasts 320 ms at most
+    bool isLeftAlone; // at that time the server gets neither requests nor probes
 };
 
 const std::vector<Case> Cases{
     { "seconds with a fraction", retryAfter("2.5"), { 250 }, true },
-    { "a fraction of a second, over", retryAfter("0.2"), { 700 }, false },
+    { "a fraction of a second that has passed", retryAfter("0.2"), { 700 }, false },
     { "whole seconds", retryAfter("3"), { 250 }, true },
-    { "whole seconds, over", retryAfter("1"), { 1700 }, false },
+    { "whole seconds that have passed", retryAfter("1"), { 1700 }, false },
     { "blanks around it", retryAfter("  2.5 "), { 250 }, true },
-    { "nothing", retryAfter("0"), { 50 }, false },
+    { "zero", retryAfter("0"), { 50 }, false },
     { "a huge number", retryAfter("999999999999999999999999999999"), { 250 }, true },
-    { "a number beyond all bounds", retryAfter(std::string(400, '9')), { 250 }, true },
-    { "a date to come", retryAfter("Fri, 01 Jan 2100 00:00:00 GMT"), { 250 }, true },
-    { "a date to come, in an old form", retryAfter("Friday, 01-Jan-38 00:00:00 GMT"), { 250 }, true },
-    { "a date that has passed", retryAfter("Sun, 06 Nov 1994 08:49:37 GMT"), { 50 }, false },
-    { "a date by the server's own clock",
+    { "a number that is too large for a double", retryAfter(std::string(400, '9')), { 250 }, true },
+    { "a future date", retryAfter("Fri, 01 Jan 2100 00:00:00 GMT"), { 250 }, true },
+    { "a future date in an obsolete format", retryAfter("Friday, 01-Jan-38 00:00:00 GMT"), { 250 }, true },
+    { "a past date", retryAfter("Sun, 06 Nov 1994 08:49:37 GMT"), { 50 }, false },
+    { "a date relative to the server's own clock",
         "Date: Sun, 06 Nov 1994 08:49:37 GMT\r\n" + retryAfter("Sun, 06 Nov 1994 08:50:37 GMT"), { 250 }, true },
-    { "rubbish", retryAfter("soon"), { 50 }, false },
-    { "less than nothing", retryAfter("-5"), { 50 }, false },
-    { "a number and more", retryAfter("5 apples"), { 50 }, false },
-    { "another notation", retryAfter("1e3"), { 50 }, false },
-    { "no number at all", retryAfter("nan"), { 50 }, false },
+    { "a word", retryAfter("soon"), { 50 }, false },
+    { "a negative number", retryAfter("-5"), { 50 }, false },
+    { "a number and other text", retryAfter("5 apples"), { 50 }, false },
+    { "an exponent", retryAfter("1e3"), { 50 }, false },
+    { "not a number", retryAfter("nan"), { 50 }, false },
     { "an empty value", retryAfter(""), { 50 }, false },
 };
 
@@ -82,12 +77,12 @@
 
 TEST_GROUP(AskedPauses)
 {
-    std::unique_ptr<asio::io_context> context; // outlives what uses it
+    std::unique_ptr<asio::io_context> context; // must outlive the objects below
     std::unique_ptr<LoopbackInstance> instance;
     std::unique_ptr<ScriptedServer> asking; // i-a
     std::unique_ptr<ScriptedServer> other; // i-b
 
-    /** With i-a alone, which answers like this. */
+    /** Starts an instance with i-a as its only server, which answers by this script. */
     void begin(const ScriptedServer::Script& script)
     {
         this->instance.reset();
@@ -100,7 +95,7 @@
         this->instance->putServer("i-a", this->asking->address());
     }
 
-    /** i-a has turned a request away like this, and would take the next one. */
+    /** Starts an instance whose server i-a has refused one request with these fields and would accept the next. */
     void turnAway(const std::string& fields)
     {
         this->begin([fields, turnsAway = true](const ScriptedRequest& request) mutable {
@@ -140,7 +135,7 @@
     LONGS_EQUAL(503, refused.status);
     CHECK(refused.took < AtOnce);
     const double comeBack = std::stod("0" + refused.field("Retry-After"));
-    CHECK_TEXT(comeBack >= 1.5 && comeBack <= 5, "not before it is over, and not all at the same moment");
+    CHECK_TEXT(comeBack >= 1.5 && comeBack <= 5, "not before the pause is over, and spread over time");
     LONGS_EQUAL(requests, this->asking->requests());
 }
 
--- a/Tests/Platform/HeaderDialectTest.cpp
+++ b/Tests/Platform/HeaderDialectTest.cpp
@@ -31,19 +31,19 @@
     { "a success without id", 200, { { "Server-Signature", "s" } }, AttemptResult::Broken, false },
     { "an encoded success", 200, { { "Request-Id", "r" }, { "Server-Signature", "s" }, { "Content-Encoding", "gzip" } },
         AttemptResult::Broken, false },
-    { "full", 503, { { "Not-Executed", "1" } }, AttemptResult::RefusedNotRun, false },
-    { "too many", 429, { { "Not-Executed", "1" } }, AttemptResult::RefusedNotRun, false },
-    { "another life", 421, { { "Instance-Id", "i-other" } }, AttemptResult::OtherServer, false },
-    { "421 of the same", 421, { { "Instance-Id", "i-1" } }, AttemptResult::RefusedNotRun, false },
+    { "503 with proof", 503, { { "Not-Executed", "1" } }, AttemptResult::RefusedNotRun, false },
+    { "429 with proof", 429, { { "Not-Executed", "1" } }, AttemptResult::RefusedNotRun, false },
+    { "421 of another server", 421, { { "Instance-Id", "i-other" } }, AttemptResult::OtherServer, false },
+    { "421 of the same server", 421, { { "Instance-Id", "i-1" } }, AttemptResult::RefusedNotRun, false },
     { "503 without proof", 503, Whole, AttemptResult::ErrorAnswer, true },
     { "429 without proof", 429, Whole, AttemptResult::ErrorAnswer, true },
     { "408 without proof", 408, Whole, AttemptResult::ErrorAnswer, true },
-    { "its own failure", 500, Whole, AttemptResult::ErrorAnswer, false },
-    { "its deadline", 504, Whole, AttemptResult::ErrorAnswer, false },
-    { "its own 404", 404, Whole, AttemptResult::Answered, false },
+    { "500 of the server", 500, Whole, AttemptResult::ErrorAnswer, false },
+    { "504 of the server", 504, Whole, AttemptResult::ErrorAnswer, false },
+    { "404 of the server", 404, Whole, AttemptResult::Answered, false },
 };
 
-/** What a server says of itself in an answer. */
+/** An answer and the notice that is read from it. */
 struct NoticeCase {
     const char* name;
     unsigned status;
@@ -53,20 +53,20 @@
 };
 
 const std::vector<NoticeCase> NoticeCases{
-    { "nothing", 200, Whole, false, 0 },
-    { "it leaves", 200, { { "Server-Leaving", "1" } }, true, 0 },
-    { "it leaves, in an error", 500, { { "server-leaving", "1" } }, true, 0 },
-    { "it does not", 200, { { "Server-Leaving", "0" } }, false, 0 },
-    { "rubbish", 200, { { "Server-Leaving", "perhaps" } }, false, 0 },
-    { "it turns away", 503, { { "Not-Executed", "1" }, { "Retry-After", "0.5" } }, false, 500 },
-    { "it turns away without proof", 503, { { "Retry-After", "2" } }, false, 2000 },
-    { "both", 503, { { "Server-Leaving", "1" }, { "Retry-After", "2" } }, true, 2000 },
-    { "another status", 429, { { "Not-Executed", "1" }, { "Retry-After", "2" } }, false, 0 },
-    { "a success", 200, { { "Retry-After", "2" } }, false, 0 },
-    { "of another server", 421, { { "Instance-Id", "i-2" }, { "Server-Leaving", "1" } }, false, 0 },
-    { "of a server without a name that is not this one", 421, { { "Server-Leaving", "1" } }, false, 0 },
-    { "421 of the same", 421, { { "Instance-Id", "i-1" }, { "Server-Leaving", "1" } }, true, 0 },
-    { "the health of another server", 503, { { "Instance-Id", "i-2" }, { "Retry-After", "2" } }, false, 0 },
+    { "no notice", 200, Whole, false, 0 },
+    { "leaving", 200, { { "Server-Leaving", "1" } }, true, 0 },
+    { "leaving, in an error", 500, { { "server-leaving", "1" } }, true, 0 },
+    { "not leaving", 200, { { "Server-Leaving", "0" } }, false, 0 },
+    { "an invalid value", 200, { { "Server-Leaving", "perhaps" } }, false, 0 },
+    { "a pause with a refusal", 503, { { "Not-Executed", "1" }, { "Retry-After", "0.5" } }, false, 500 },
+    { "a pause with an unproved refusal", 503, { { "Retry-After", "2" } }, false, 2000 },
+    { "leaving and a pause", 503, { { "Server-Leaving", "1" }, { "Retry-After", "2" } }, true, 2000 },
+    { "Retry-After with 429", 429, { { "Not-Executed", "1" }, { "Retry-After", "2" } }, false, 0 },
+    { "Retry-After with a success", 200, { { "Retry-After", "2" } }, false, 0 },
+    { "leaving, from another server", 421, { { "Instance-Id", "i-2" }, { "Server-Leaving", "1" } }, false, 0 },
+    { "421 without a server id", 421, { { "Server-Leaving", "1" } }, false, 0 },
+    { "421 of the same server", 421, { { "Instance-Id", "i-1" }, { "Server-Leaving", "1" } }, true, 0 },
+    { "a pause, from another server", 503, { { "Instance-Id", "i-2" }, { "Retry-After", "2" } }, false, 0 },
 };
 
 struct RefusalCase {
@@ -122,7 +122,7 @@
     }
 }
 
-// Those that the pages name and HTTP does not; docs/design/platform-fields.md says what each becomes.
+// The fields that the platform's documents define beyond HTTP; see docs/design/platform-fields.md.
 TEST(HeaderDialect, KnowsEachFieldOfAnswers)
 {
     for (const char* field : { "Request-Id", "Server-Signature", "Not-Executed", "Instance-Id", "Instance-Load",
--- a/Tests/Platform/KvFactTranslatorTest.cpp
+++ b/Tests/Platform/KvFactTranslatorTest.cpp
@@ -29,44 +29,45 @@
     return { .key = key, .value = value, .revision = 7, .removed = removed };
 }
 
-/** Items that say nothing, or cannot be read. */
+/** An item that translates to no facts, either because its key is not used or because it is invalid. */
 struct Case {
     const char* name;
     StoreItem item;
-    std::size_t findings;
+    std::size_t findings; // number of findings
 };
 
 const std::vector<Case> Cases{
     { "another key", item("op/other", "{}"), 0 },
     { "a status", item("status/x", "{}"), 0 },
-    { "no JSON", item("op/config", "{"), 1 },
+    { "invalid JSON", item("op/config", "{"), 1 },
     { "a list", item("op/config", "[]"), 1 },
-    { "a route to nowhere", item("op/config", R"({"version":"01","routes":{"r":{"host":"a","path_prefix":"/"}}})"), 1 },
+    { "a route without a service",
+        item("op/config", R"({"version":"01","routes":{"r":{"host":"a","path_prefix":"/"}}})"), 1 },
     { "a route without a host",
         item("op/config", R"({"version":"01","routes":{"r":{"path_prefix":"/","service":"s"}}})"), 1 },
     { "a version of another type",
         item("op/config", R"({"version":1,"routes":{"r":{"host":"a","path_prefix":"/","service":"s"}}})"), 1 },
-    { "an absurd weight", item("op/config", R"({"version":"01","routes":{"r":{"host":"a","path_prefix":"/",
+    { "a negative weight", item("op/config", R"({"version":"01","routes":{"r":{"host":"a","path_prefix":"/",
         "traffic_split":[{"service":"s","weight":-4},{"service":"t","weight":1}]}}})"),
         1 },
     { "routes of another type", item("op/config", R"({"version":"01","routes":[]})"), 1 },
     { "the configuration removed", item("op/config", "", true), 0 },
 };
 
-/** A text in the record of a server, and what another writer has in its place. */
+/** A change that makes the record of a backend server invalid. */
 struct ForeignRecord {
     const char* name;
-    const char* usual;
-    const char* foreign;
+    const char* usual; // text of the valid record
+    const char* foreign; // text that replaces it
 };
 
 const std::vector<ForeignRecord> ForeignRecords{
     { "no address", R"("address":"10.128.0.9:8080",)", "" },
-    { "an address that is none", R"("10.128.0.9:8080")", R"("somewhere")" },
+    { "an invalid address", R"("10.128.0.9:8080")", R"("somewhere")" },
     { "an address of another type", R"("10.128.0.9:8080")", "7" },
     { "a start of another type", "1764716442123", R"("1764716442123")" },
     { "a start that is no whole number", "1764716442123", "1764716442123.5" },
-    { "a start before all times", "1764716442123", "-1" },
+    { "a negative start", "1764716442123", "-1" },
     { "no service", R"("service":"s-a",)", "" },
     { "an empty service", R"("s-a")", R"("")" },
     { "a service of another type", R"("s-a")", R"(["s-a"])" },
@@ -74,19 +75,19 @@
     { "no data centre", R"("zone":"z-1",)", "" },
     { "a data centre of another type", R"("z-1")", "null" },
     { "no slots", R"(,"slots":4)", "" },
-    { "no slots at all", R"("slots":4)", R"("slots":0)" },
+    { "zero slots", R"("slots":4)", R"("slots":0)" },
     { "slots of another type", R"("slots":4)", R"("slots":"4")" },
-    { "parts of slots", R"("slots":4)", R"("slots":4.5)" },
-    { "an absurd number of slots", R"("slots":4)", R"("slots":400000000)" },
+    { "a fraction of a slot", R"("slots":4)", R"("slots":4.5)" },
+    { "too many slots", R"("slots":4)", R"("slots":400000000)" },
     { "no state", R"("state":"draining",)", "" },
-    { "a state that is not named", R"("draining")", R"("paused")" },
+    { "an unknown state", R"("draining")", R"("paused")" },
     { "a state of another type", R"("draining")", "true" },
     { "no sequence", R"("sequence":4,)", "" },
     { "a sequence of another type", R"("sequence":4)", R"("sequence":"four")" },
     { "no cold time", R"(,"cold_remaining":"1500ms")", "" },
     { "a cold time of another type", R"("1500ms")", "1500" },
     { "a cold time without a unit", R"("1500ms")", R"("1500")" },
-    { "an absurd cold time", R"("1500ms")", R"("900000000s")" },
+    { "a cold time that is too long", R"("1500ms")", R"("900000000s")" },
     { "no info", R"("info")", R"("other")" },
     { "a status of another type", R"("status":{)", R"("status":"ready","other":{)" },
 };
@@ -186,7 +187,7 @@
     LONGS_EQUAL(0, facts.backendServers.front().life);
 }
 
-// Whatever bytes lie there, the record is either whole or not used.
+// Random changes of bytes: the record is either used with all its fields valid or not used at all.
 TEST(KvFactTranslator, SpoiltBytesNeverNameAServerInPart)
 {
     constexpr int rounds = 20000;
@@ -214,7 +215,7 @@
     const Facts back = this->translator.translate(item("op/evacuate/z-1", "", true));
     CHECK_FALSE(back.dataCentres.front().emptied);
     const Facts unreadable = this->translator.translate(item("op/evacuate/z-1", "\x01{"));
-    CHECK_TEXT(unreadable.dataCentres.front().emptied, "the key alone says it");
+    CHECK_TEXT(unreadable.dataCentres.front().emptied, "the key alone counts");
 }
 
 TEST(KvFactTranslator, ReadsWhatAColdServerBears)
@@ -228,7 +229,7 @@
 
 namespace {
 
-/** A document of customers; the rest of it is always the same. */
+/** A configuration with these customers. */
 std::string documentWith(const std::string& customers)
 {
     return R"({"version":"00000007","routes":{"r":{"host":"a.example","path_prefix":"/x/","type":"safe","service":"s","public":true},)"
@@ -303,7 +304,7 @@
         stored.value = item.before;
         const auto cleared = translator.withoutSecrets(stored);
         STRCMP_EQUAL(item.after.c_str(), cleared.value_or(item.before).c_str());
-        // What was cleared once stays as it is.
+        // Removing the keys a second time changes nothing.
         stored.value = cleared.value_or(item.before);
         STRCMP_EQUAL(item.after.c_str(), translator.withoutSecrets(stored).value_or(stored.value).c_str());
     }
--- a/Tests/Platform/LoopbackInstance.cpp
+++ b/Tests/Platform/LoopbackInstance.cpp
@@ -119,7 +119,7 @@
 
 CallerAnswer LoopbackInstance::call(Milliseconds patience)
 {
-    constexpr std::size_t statusAt = 9; // behind "HTTP/1.1 "
+    constexpr std::size_t statusAt = 9; // position after "HTTP/1.1 "
     asio::ip::tcp::socket socket(*this->context);
     socket.connect({ asio::ip::address_v4::loopback(), this->port });
     asio::write(socket,
--- a/Tests/Platform/LoopbackInstance.h
+++ b/Tests/Platform/LoopbackInstance.h
@@ -11,19 +11,20 @@
 
 namespace burlreach {
 
-/** What a caller got. */
+/** The answer that a caller received. */
 struct CallerAnswer {
-    unsigned status = 0; // 0: none came
-    std::string text; // all of it
-    Milliseconds took;
+    unsigned status = 0; // 0: no answer
+    std::string text; // the whole answer, header and body
+    Milliseconds took; // time from sending the request to the answer
 
+    /** Returns the value of a header field; empty if it is missing. */
     std::string field(std::string_view name) const;
 };
 
 /**
- * The decisions and the traffic of one instance in the platform's form, on one
- * thread and real loopback connections. What the store holds is told by the
- * test, as another instance would.
+ * One instance, made of Node and a RequestDesk with the platform's dialect, on
+ * one thread with real loopback connections. The test supplies the contents of
+ * the store, as gossip updates of another instance.
  */
 class LoopbackInstance final : public EventSink {
 public:
@@ -31,25 +32,27 @@
 
     void post(const Event& event) override;
 
-    /** A backend server's record, as the platform's store holds it; born 0: the record tells no life. */
+    /** Adds or changes a backend server's record in the store. If born is 0, the record has no start time. */
     void putServer(const std::string& id, const NetworkAddress& address, std::uint64_t born = 0);
     void removeServer(const std::string& id);
-    /** Sends a request and waits for what comes of it. */
+    /** Sends a request and waits for its answer for up to 2.5 s. */
     CallerAnswer call();
-    /** Sends it, and waits no longer than this. */
+    /** Sends a request and waits for its answer for up to this long. */
     CallerAnswer call(Milliseconds patience);
+    /** Runs the instance for this long. */
     void pass(Milliseconds span);
     const Node& decisions() const { return this->node; }
-    /** As ctl show-load tells it; empty: the server is not known. */
+    /** Returns the server's state as shown by ctl show-load; empty if the server is unknown. */
     std::string stateOf(const std::string& id) const;
 
 private:
+    /** Passes an item of the store to Node, as a push of another instance. */
     void tell(const std::string& key, const std::string& value, bool isRemoved);
 
     template <typename Other>
     void execute(const Other&)
     {
-        // Peers, the store and the log have no part here.
+        // Actions for peers, the store and the log are not carried out.
     }
     void execute(const SendAttempt& action) { this->desk.execute(action); }
     void execute(const CancelAttempt& action) { this->desk.execute(action); }
@@ -67,7 +70,7 @@
     Node node;
     std::uint16_t port;
     RequestDesk desk;
-    Milliseconds requestTimer = Never; // planned after each event
+    Milliseconds requestTimer = Never; // when RequestTimer is due; set after each event
     StoreRevision revision = 0;
     unsigned calls = 0;
 };
--- a/Tests/Platform/NamedLimitsTest.cpp
+++ b/Tests/Platform/NamedLimitsTest.cpp
@@ -1,8 +1,6 @@
-// A backend server in need named in its answers how many requests a second it
-// takes from all instances together, and went on getting three times as many.
-// Cause: the header dialect did not read the field, and no part of the
-// decisions knew of such a limit.
-// Proof: this test on the code before, over real connections.
+// An overloaded backend server states in its answers how many requests per
+// second it accepts from all instances together. Instances that do not read
+// that field sent a server three times as many.
 
 #include "Tests/Platform/LoopbackInstance.h"
 #include "Tests/Platform/ScriptedServer.h"
@@ -23,41 +21,41 @@
 constexpr double Limit = 4; // requests a second
 constexpr double WindowSeconds = 4;
 constexpr Milliseconds Window{ 1000 * WindowSeconds };
-/** What was under way when the server spoke first. */
+/** Requests that were sent before the first answer may still arrive for this long and are not counted. */
 constexpr Milliseconds OnItsWay{ 500 };
-/** What the platform allows in a window: one and a half times the limit, and five requests. */
+/** The platform allows in a window one and a half times the limit and five requests more. */
 constexpr auto MostInWindow = static_cast<std::size_t>(1.5 * Limit * WindowSeconds + 5);
-/** Seven tenths of the limit are to be used where callers want more. */
+/** At least 0.7 of the limit must be used if callers send more than that. */
 constexpr auto LeastInWindow = static_cast<std::size_t>(0.7 * Limit * WindowSeconds);
-/** The instance knows then how large the fleet is. */
+/** After this time the instance knows the number of instances that share the limit. */
 constexpr Milliseconds Settling{ 4500 };
 constexpr Milliseconds BetweenCalls{ 20 };
 
-/** In which answers the server names its limit. */
+/** The answers in which the server states its limit. */
 struct Case {
     const char* name;
-    unsigned status;
-    std::string fields; // of these answers, besides the limit
-    bool inHealthAnswers;
+    unsigned status; // of answers to requests
+    std::string fields; // of the answers that state the limit
+    bool inHealthAnswers; // the limit is also stated in answers to probes
 };
 
 const std::vector<Case> Cases{
-    { "in each answer", 200, "Instance-Id: i-a\r\n", true },
-    { "in answers to requests", 200, "", false },
+    { "in all answers", 200, "Instance-Id: i-a\r\n", true },
+    { "in successful answers to requests", 200, "", false },
     { "in errors", 500, "Instance-Id: i-a\r\n", false },
-    { "where it turns requests away", 503, "Not-Executed: 1\r\n", false },
+    { "in refusals", 503, "Not-Executed: 1\r\n", false },
 };
 
 }
 
 TEST_GROUP(NamedLimits)
 {
-    std::unique_ptr<asio::io_context> context; // outlives what uses it
+    std::unique_ptr<asio::io_context> context; // must outlive the objects below
     std::unique_ptr<LoopbackInstance> instance;
     std::unique_ptr<ScriptedServer> limited; // i-a
     std::unique_ptr<ScriptedServer> other; // i-b
     SteadyClock clock;
-    std::vector<Milliseconds> arrivals; // of requests at i-a
+    std::vector<Milliseconds> arrivals; // times at which requests arrived at i-a
 
     void begin(const Case& item)
     {
@@ -82,7 +80,7 @@
         this->instance->putServer("i-a", this->limited->address());
     }
 
-    /** Calls one after another for the span; gives how many of them were answered. */
+    /** Sends requests one after another for this long; returns the number of successful answers. */
     std::size_t callFor(Milliseconds span) const
     {
         std::size_t answered = 0;
@@ -94,7 +92,7 @@
         return answered;
     }
 
-    /** Requests that came in the window that began half a second after the first one. */
+    /** The number of requests at i-a in the window that begins 500 ms after the first request. */
     std::size_t counted() const
     {
         if (this->arrivals.empty())
@@ -122,7 +120,7 @@
         this->instance->putServer("i-b", this->other->address());
         this->callFor(OnItsWay + Window);
         CHECK_TEXT(this->counted() <= MostInWindow, item.name);
-        // Without a word in health answers the first request hears it.
+        // If answers to probes do not state the limit, only the answer to a first request can.
         CHECK_TEXT(item.inHealthAnswers || !this->arrivals.empty(), item.name);
     }
 }
@@ -132,6 +130,6 @@
     this->begin(Cases.front());
     this->instance->putServer("i-b", this->other->address());
     const std::size_t answered = this->callFor(Window);
-    CHECK_TEXT(answered > MostInWindow, "nobody is refused while another server has room");
+    CHECK_TEXT(answered > MostInWindow, "no request is refused while another server has capacity");
     CHECK_TEXT(this->arrivals.size() <= MostInWindow, "the limit");
 }
--- a/Tests/Platform/ScriptedServer.h
+++ b/Tests/Platform/ScriptedServer.h
@@ -15,23 +15,24 @@
 
 /** A request as a ScriptedServer read it. */
 struct ScriptedRequest {
-    std::string head; // request line and fields
+    std::string head; // request line and header fields
     bool isProbe = false;
 
+    /** Returns the value of a header field; empty if it is missing. */
     std::string_view field(std::string_view name) const;
 };
 
-/** A backend server on loopback whose answers are the bytes that a test gives. */
+/** A backend server on the loopback interface whose answers are made by a script of the test. */
 class ScriptedServer {
 public:
-    /** The bytes of the answer; those after a trailing "(close)" end the connection. */
+    /** Returns the bytes of the answer. If they end with "(close)", this is not sent and no further request is read. */
     using Script = std::function<std::string(const ScriptedRequest&)>;
 
     ScriptedServer(asio::io_context& context, Script script);
 
     void answerWith(Script next) { this->script = std::move(next); }
     NetworkAddress address() const;
-    /** Requests other than probes, and probes. */
+    /** The number of requests received, without probes. */
     std::size_t requests() const { return this->requestCount; }
     std::size_t probes() const { return this->probeCount; }
 
@@ -48,7 +49,7 @@
     std::size_t probeCount = 0;
 };
 
-/** An answer to the request with these lines of fields; the id and a signature come with it. */
+/** Makes a signed answer to the request, with its id and these further header lines. */
 std::string scriptedAnswer(const ScriptedRequest& request, unsigned status, std::string_view fields);
 
 }
--- a/Tests/Platform/ServerWordsTest.cpp
+++ b/Tests/Platform/ServerWordsTest.cpp
@@ -1,12 +1,8 @@
-// Seen: a backend server that was about to end said so in all its answers, and
-// for 14 s went on getting as many requests as before, from all instances; two
-// of them sent it requests 3.9 s after they had passed such an answer on.
-// How it came about: the store was away, so its record could not say it, and
-// the answers were the only sign. Cause: the platform's header dialect read no
-// such field; what the decisions knew to do with it was never reached.
-// Proof: with the field, 10 of the next 10 requests went to the server, and no
-// line named it; requests reached it 6 ms after their callers had sent them, so
-// none had been chosen before.
+// A backend server that is about to stop announces it in a header field of all
+// its answers. While the store is unavailable, its record cannot say so, and
+// these answers are the only sign. A dialect that does not read the field lets
+// all instances send the server as many requests as before: in one outage for
+// 14 s, and up to 3.9 s after an instance had forwarded such an answer.
 
 #include "Tests/Platform/LoopbackInstance.h"
 #include "Tests/Platform/ScriptedServer.h"
@@ -23,10 +19,10 @@
 
 namespace {
 
-/** The better choice by its figures, so that only its word keeps requests away. */
+/** Reports less load than plainAnswer, so that only the announcement keeps requests away. */
 constexpr const char* Leaving = "Server-Leaving: 1\r\nInstance-Load: 0,0,3,100\r\n";
 constexpr const char* Refused = "Not-Executed: 1\r\n";
-/** A request that cannot be served is refused within this: one that waits does so for 330 ms, 0.22 of the target. */
+/** Upper bound for a refusal without waiting; a request that waits does so for 330 ms, 0.22 of the target latency. */
 constexpr Milliseconds AtOnce{ 150 };
 
 std::string plainAnswer(const ScriptedRequest& request)
@@ -34,13 +30,16 @@
     return scriptedAnswer(request, 200, "Instance-Load: 1,0,3,150\r\n");
 }
 
-/** An answer whose body breaks off. */
+/** An answer whose connection is closed before its body is complete. */
 std::string brokenAnswer(const std::string& fields)
 {
     return "HTTP/1.1 200 x\r\nContent-Length: 99\r\nServer-Signature: s\r\n" + fields + "\r\nok(close)";
 }
 
-/** Says nothing in answers to probes, by whose figures it is the better choice; the first word comes with a request. */
+/**
+ * Answers requests by this script. Answers to probes contain no announcement and report little load, so that the
+ * server is preferred.
+ */
 ScriptedServer::Script toRequests(const ScriptedServer::Script& script)
 {
     return [script](const ScriptedRequest& request) {
@@ -54,34 +53,33 @@
     return scriptedAnswer(request, 200, Leaving);
 }
 
-/** An answer in which the word of leaving comes. */
+/** A server that announces in some of its answers that it is leaving. */
 struct LeavingCase {
     const char* name;
     ScriptedServer::Script script;
-    std::size_t requests; // that the server gets in all, its first one included
+    std::size_t requests; // number of requests that the server gets in all
 };
 
 const std::vector<LeavingCase> LeavingCases{
     { "a success", toRequests(sayLeaving), 1 },
-    { "an error of its own",
-        toRequests([](const ScriptedRequest& request) { return scriptedAnswer(request, 500, Leaving); }), 1 },
+    { "an error", toRequests([](const ScriptedRequest& request) { return scriptedAnswer(request, 500, Leaving); }), 1 },
     { "a refusal", toRequests([](const ScriptedRequest& request) {
          return scriptedAnswer(request, 503, std::string(Refused) + Leaving);
      }),
         1 },
     { "an answer that breaks off", toRequests([](const ScriptedRequest&) { return brokenAnswer(Leaving); }), 1 },
-    { "an answer to another request, late", toRequests([](const ScriptedRequest& request) {
+    { "a late answer to another request", toRequests([](const ScriptedRequest& request) {
          const std::string late = "HTTP/1.1 200 x\r\nContent-Length: 2\r\nServer-Signature: s\r\nRequest-Id: other\r\n";
          return late + Leaving + "\r\nok" + plainAnswer(request);
      }),
         1 },
-    { "a health answer that says it is well",
+    { "a successful answer to a probe",
         [](const ScriptedRequest& request) {
             return request.isProbe ? scriptedAnswer(request, 200, std::string("Instance-Id: i-a\r\n") + Leaving)
                                    : plainAnswer(request);
         },
         0 },
-    { "a health answer that says it is not",
+    { "a refusal of a probe",
         [](const ScriptedRequest& request) {
             return request.isProbe ? scriptedAnswer(request, 503, std::string("Instance-Id: i-a\r\n") + Leaving)
                                    : plainAnswer(request);
@@ -93,12 +91,12 @@
 
 TEST_GROUP(ServerWords)
 {
-    std::unique_ptr<asio::io_context> context; // outlives what uses it
+    std::unique_ptr<asio::io_context> context; // must outlive the objects below
     std::unique_ptr<LoopbackInstance> instance;
     std::unique_ptr<ScriptedServer> wordy; // i-a
     std::unique_ptr<ScriptedServer> plain; // i-b
 
-    /** With i-a alone, which answers like this. */
+    /** Starts an instance with i-a as its only server, which answers by this script. */
     void begin(const ScriptedServer::Script& script)
     {
         this->instance.reset();
@@ -173,7 +171,7 @@
     }
 }
 
-// Whoever else has the address now speaks for itself.
+// An announcement of a server that has taken over the address does not apply to the former server.
 TEST(ServerWords, TheWordOfAnotherServerAtTheAddressSaysNothingOfThisOne)
 {
     platform::HeaderDialect dialect;
