--- a/Source/Http/AnswerOrder.cpp
+++ b/Source/Http/AnswerOrder.cpp
@@ -5,37 +5,38 @@
 
 namespace burlreach {
 
-HttpRequestNumber AnswerOrder::begin(const AnswerForm& form)
+HttpRequestNumber AnswerQueue::addRequest(const AnswerFormat& form)
 {
-    this->places.push_back({ .request = ++this->last, .form = form, .response = std::nullopt });
-    return this->last;
+    this->requests.push_back({ .request = ++this->lastNumber, .form = form, .response = std::nullopt });
+    return this->lastNumber;
 }
 
-bool AnswerOrder::put(HttpRequestNumber request, HttpResponse response)
+bool AnswerQueue::setAnswer(HttpRequestNumber request, HttpResponse response)
 {
-    const auto place = std::find_if(
-        this->places.begin(), this->places.end(), [request](const Place& item) { return item.request == request; });
-    if (place == this->places.end() || place->response)
+    const auto place = std::find_if(this->requests.begin(), this->requests.end(),
+        [request](const PendingRequest& item) { return item.request == request; });
+    if (place == this->requests.end() || place->response)
         return false;
     place->response = std::move(response);
     return true;
 }
 
-bool AnswerOrder::hasUnanswered() const
+bool AnswerQueue::hasUnanswered() const
 {
-    return std::any_of(this->places.begin(), this->places.end(), [](const Place& place) { return !place.response; });
+    return std::any_of(
+        this->requests.begin(), this->requests.end(), [](const PendingRequest& place) { return !place.response; });
 }
 
-ReadyAnswers AnswerOrder::takeReady(bool endsConnection)
+ReadyAnswers AnswerQueue::takeReady(bool endsConnection)
 {
     ReadyAnswers ready;
-    while (!this->places.empty() && this->places.front().response) {
-        Place place = std::move(this->places.front());
-        this->places.pop_front();
-        ready.isLast = this->places.empty() && (endsConnection || !place.form.keepsConnection);
+    while (!this->requests.empty() && this->requests.front().response) {
+        PendingRequest place = std::move(this->requests.front());
+        this->requests.pop_front();
+        ready.isLast = this->requests.empty() && (endsConnection || !place.form.keepsConnection);
         place.response->version(place.form.version);
         place.response->keep_alive(!ready.isLast);
-        ready.bytes += encode(std::move(*place.response), place.form.isHead);
+        ready.bytes += encode(std::move(*place.response), place.form.isHeadRequest);
     }
     return ready;
 }
--- a/Source/Http/AnswerOrder.h
+++ b/Source/Http/AnswerOrder.h
@@ -14,9 +14,9 @@
 using HttpRequestNumber = std::uint64_t;
 
 /** The properties of a request that determine the form of its answer. */
-struct AnswerForm {
+struct AnswerFormat {
     unsigned version = 11; // of HTTP, as in Boost.Beast: 11 is HTTP/1.1
-    bool isHead = false; // a HEAD request; its answer has no body
+    bool isHeadRequest = false; // a HEAD request; its answer has no body
     bool keepsConnection = true; // false: the caller asked to close the connection after the answer
 };
 
@@ -30,12 +30,12 @@
  * Puts the answers to the pipelined requests of a connection into the order of
  * the requests. Does no input or output.
  */
-class AnswerOrder {
+class AnswerQueue {
 public:
     /** Adds a request after all earlier ones and returns its number. */
-    HttpRequestNumber begin(const AnswerForm& form);
+    HttpRequestNumber addRequest(const AnswerFormat& form);
     /** Stores the answer to a request. Returns false if the request has one already or does not exist. */
-    bool put(HttpRequestNumber request, HttpResponse response);
+    bool setAnswer(HttpRequestNumber request, HttpResponse response);
     /**
      * Removes and returns the answers to the oldest requests, up to the first
      * one without an answer. If endsConnection, the answer to the newest request
@@ -44,22 +44,22 @@
     ReadyAnswers takeReady(bool endsConnection);
 
     /** The number of requests whose answers were not taken yet. */
-    std::size_t size() const { return this->places.size(); }
-    bool isEmpty() const { return this->places.empty(); }
+    std::size_t size() const { return this->requests.size(); }
+    bool isEmpty() const { return this->requests.empty(); }
     /** Returns true if a request has no answer yet. */
     bool hasUnanswered() const;
     /** Returns false if the newest request asked to close the connection, so that nothing may be read after it. */
-    bool mayBeFollowed() const { return this->places.empty() || this->places.back().form.keepsConnection; }
+    bool mayReadNext() const { return this->requests.empty() || this->requests.back().form.keepsConnection; }
 
 private:
-    struct Place {
+    struct PendingRequest {
         HttpRequestNumber request = 0;
-        AnswerForm form;
+        AnswerFormat form;
         std::optional<HttpResponse> response;
     };
 
-    std::deque<Place> places;
-    HttpRequestNumber last = 0;
+    std::deque<PendingRequest> requests;
+    HttpRequestNumber lastNumber = 0;
 };
 
 }
--- a/Source/Http/HttpConnection.cpp
+++ b/Source/Http/HttpConnection.cpp
@@ -2,7 +2,7 @@
 
 namespace burlreach {
 
-bool isQuiet(HttpConnection& connection)
+bool isOpenAndSilent(HttpConnection& connection)
 {
     char byte = 0;
     asio::error_code error;
--- a/Source/Http/HttpConnection.h
+++ b/Source/Http/HttpConnection.h
@@ -18,11 +18,11 @@
 
     asio::ip::tcp::socket socket;
     Milliseconds lastUsed; // time at which the last exchange ended
-    Milliseconds keptFor{ 4000 }; // idle time after which the server may close the connection
+    Milliseconds keepAliveTimeout{ 4000 }; // idle time after which the server may close the connection
     unsigned exchanges = 0;
 };
 
 /** Returns true if the server has neither closed an idle connection nor sent anything on it. */
-bool isQuiet(HttpConnection& connection);
+bool isOpenAndSilent(HttpConnection& connection);
 
 }
--- a/Source/Http/HttpConnectionPool.cpp
+++ b/Source/Http/HttpConnectionPool.cpp
@@ -13,7 +13,7 @@
 
 bool HttpConnectionPool::isUsable(const HttpConnection& connection) const
 {
-    return this->clock->now() - connection.lastUsed <= connection.keptFor * this->options.usedShare;
+    return this->clock->now() - connection.lastUsed <= connection.keepAliveTimeout * this->options.reusableShare;
 }
 
 std::shared_ptr<HttpConnection> HttpConnectionPool::take(const std::string& server, Milliseconds longestIdle)
@@ -27,22 +27,22 @@
             return nullptr; // the others have been idle even longer
         std::shared_ptr<HttpConnection> connection = std::move(connections.back());
         connections.pop_back();
-        if (this->isUsable(*connection) && isQuiet(*connection))
+        if (this->isUsable(*connection) && isOpenAndSilent(*connection))
             return connection;
     }
     return nullptr;
 }
 
-void HttpConnectionPool::give(const std::string& server, std::shared_ptr<HttpConnection> connection)
+void HttpConnectionPool::add(const std::string& server, std::shared_ptr<HttpConnection> connection)
 {
     auto& connections = this->idle[server];
     connection->lastUsed = this->clock->now();
     connections.push_back(std::move(connection));
-    if (connections.size() > this->options.idlePerServer)
+    if (connections.size() > this->options.maxIdlePerServer)
         connections.erase(connections.begin());
 }
 
-void HttpConnectionPool::tend()
+void HttpConnectionPool::closeExpired()
 {
     for (auto& [server, connections] : this->idle)
         std::erase_if(connections, [this](const auto& connection) { return !this->isUsable(*connection); });
--- a/Source/Http/HttpConnectionPool.h
+++ b/Source/Http/HttpConnectionPool.h
@@ -19,8 +19,8 @@
 class HttpConnectionPool {
 public:
     struct Options {
-        std::size_t idlePerServer = 4;
-        double usedShare = 0.7; // of the server's keep-alive time, during which a connection is reused
+        std::size_t maxIdlePerServer = 4;
+        double reusableShare = 0.7; // of the server's keep-alive time, during which a connection is reused
     };
 
     HttpConnectionPool(Options options, const Clock& clock);
@@ -28,10 +28,10 @@
     /** Returns the most recently used connection if it was idle for at most longestIdle; null if there is none. */
     std::shared_ptr<HttpConnection> take(const std::string& server, Milliseconds longestIdle);
     /** Adds an idle connection. If the server then has too many, the oldest one is closed. */
-    void give(const std::string& server, std::shared_ptr<HttpConnection> connection);
+    void add(const std::string& server, std::shared_ptr<HttpConnection> connection);
     void closeAll(const std::string& server) { this->idle.erase(server); }
     /** Closes connections that were idle for too long to be reused; to be called about once a second. */
-    void tend();
+    void closeExpired();
     std::size_t size() const;
 
 private:
--- a/Source/Http/HttpExchange.cpp
+++ b/Source/Http/HttpExchange.cpp
@@ -13,7 +13,7 @@
 
 namespace http = boost::beast::http;
 
-constexpr std::uint32_t LongestHeader = 65536;
+constexpr std::uint32_t MaxHeaderBytes = 65536;
 constexpr double MillisecondsPerSecond = 1000;
 
 }
@@ -28,35 +28,35 @@
 
 void HttpExchange::start(std::shared_ptr<HttpConnection> kept)
 {
-    this->newParser();
+    this->resetParser();
     if (!kept)
         return this->connect();
     this->isReused = true;
     this->connection = std::move(kept);
-    this->limitTime(this->options.timeout, HttpExchangeResult::TimedOut);
+    this->startTimeout(this->options.timeout, HttpExchangeResult::TimedOut);
     this->write();
 }
 
-void HttpExchange::newParser()
+void HttpExchange::resetParser()
 {
-    this->isHeaderTold = false;
+    this->isHeaderReported = false;
     this->parser.emplace();
     this->parser->eager(true);
-    this->parser->skip(this->options.isHead);
-    this->parser->header_limit(LongestHeader);
-    this->parser->body_limit(this->options.longestAnswer);
+    this->parser->skip(this->options.isHeadRequest);
+    this->parser->header_limit(MaxHeaderBytes);
+    this->parser->body_limit(this->options.maxAnswerBytes);
 }
 
-void HttpExchange::limitTime(Milliseconds span, HttpExchangeResult result)
+void HttpExchange::startTimeout(Milliseconds span, HttpExchangeResult result)
 {
     this->timer.cancel();
     // Cancelling does not stop a handler that is already queued; the number identifies the timeout in force.
-    const unsigned limit = ++this->limitNumber;
+    const unsigned limit = ++this->timeoutNumber;
     if (span == Never)
         return;
     this->timer.expires_after(toDuration(span));
     this->timer.async_wait([self = this->shared_from_this(), result, limit](const asio::error_code& error) {
-        if (!error && !self->isOver && limit == self->limitNumber)
+        if (!error && !self->isFinished && limit == self->timeoutNumber)
             self->finish(result, std::nullopt);
     });
 }
@@ -67,27 +67,27 @@
     const asio::ip::tcp::endpoint endpoint(
         asio::ip::make_address(this->options.address.host, error), this->options.address.port);
     this->connection = std::make_shared<HttpConnection>(asio::ip::tcp::socket(*this->context));
-    this->limitTime(std::min(this->options.connectTimeout, this->options.timeout), HttpExchangeResult::NotSent);
+    this->startTimeout(std::min(this->options.connectTimeout, this->options.timeout), HttpExchangeResult::NotSent);
     this->connection->socket.async_connect(
         endpoint, [self = this->shared_from_this()](const asio::error_code& failure) {
-            if (self->isOver)
+            if (self->isFinished)
                 return;
             if (failure)
                 return self->finish(HttpExchangeResult::NotSent, std::nullopt);
             asio::error_code ignored;
             self->connection->socket.set_option(asio::ip::tcp::no_delay(true), ignored);
             self->connection->socket.non_blocking(true, ignored);
-            self->limitTime(self->options.timeout, HttpExchangeResult::TimedOut);
+            self->startTimeout(self->options.timeout, HttpExchangeResult::TimedOut);
             self->write();
         });
 }
 
 void HttpExchange::write()
 {
-    this->writingBegun = true;
+    this->isWritingBegun = true;
     asio::async_write(this->connection->socket, asio::buffer(this->options.request),
         [self = this->shared_from_this(), kept = this->connection](const asio::error_code& error, std::size_t size) {
-            if (self->isOver)
+            if (self->isFinished)
                 return;
             if (error && !size)
                 return self->finish(HttpExchangeResult::NotSent, std::nullopt);
@@ -107,21 +107,21 @@
 
 void HttpExchange::received(const asio::error_code& error, std::size_t size)
 {
-    if (this->isOver)
+    if (this->isFinished)
         return;
     this->input.append(this->chunk.data(), size);
     if (!error) {
-        if (this->options.isTimeoutOfSilence)
-            this->limitTime(this->options.timeout, HttpExchangeResult::TimedOut);
+        if (this->options.isIdleTimeout)
+            this->startTimeout(this->options.timeout, HttpExchangeResult::TimedOut);
         return this->parse();
     }
     // An answer without a length ends with an orderly close, not with a reset.
-    if (error == asio::error::eof && this->finishUnframed())
-        return this->answerParsed();
+    if (error == asio::error::eof && this->finishAnswerWithoutLength())
+        return this->answerComplete();
     this->finish(HttpExchangeResult::Broken, std::nullopt);
 }
 
-bool HttpExchange::finishUnframed()
+bool HttpExchange::finishAnswerWithoutLength()
 {
     if (!this->parser->is_header_done() || !this->parser->need_eof())
         return false;
@@ -136,57 +136,58 @@
         boost::beast::error_code error;
         const std::size_t used = this->parser->put(boost::asio::buffer(this->input), error);
         this->input.erase(0, used);
-        this->tellHeader();
-        if (this->isOver)
+        this->reportHeader();
+        if (this->isFinished)
             return;
         if (error && error != http::error::need_more)
             return this->finish(HttpExchangeResult::Broken, std::nullopt);
         if (this->parser->is_done())
-            return this->answerParsed();
+            return this->answerComplete();
         if (error == http::error::need_more || !used)
             break;
     }
     this->read();
 }
 
-void HttpExchange::tellHeader()
+void HttpExchange::reportHeader()
 {
-    if (this->isHeaderTold || !this->options.headerRead || !this->parser->is_header_done())
+    if (this->isHeaderReported || !this->options.headerReceived || !this->parser->is_header_done())
         return;
-    this->isHeaderTold = true;
-    this->options.headerRead(this->parser->get());
+    this->isHeaderReported = true;
+    this->options.headerReceived(this->parser->get());
 }
 
-void HttpExchange::answerParsed()
+void HttpExchange::answerComplete()
 {
     HttpResponse response = this->parser->release();
     const bool isInterim = http::to_status_class(response.result()) == http::status_class::informational;
-    const bool isOwn = !this->options.isOwnAnswer || this->options.isOwnAnswer(response);
+    const bool isOwn = !this->options.isAnswerToRequest || this->options.isAnswerToRequest(response);
     if (!isInterim && isOwn)
         return this->finish(HttpExchangeResult::Answered, std::move(response));
     const bool isConnectionOver = !this->connection->socket.is_open() || response.need_eof();
     if (!isInterim && isConnectionOver)
         return this->finish(HttpExchangeResult::Broken, std::nullopt);
-    this->isSkipping = this->isSkipping || !isInterim;
-    this->newParser();
+    this->hasSkippedAnswer = this->hasSkippedAnswer || !isInterim;
+    this->resetParser();
     this->parse();
 }
 
-bool HttpExchange::mayKeep(const HttpResponse& response) const
+bool HttpExchange::mayReuseConnection(const HttpResponse& response) const
 {
-    return this->isWritten && !this->isSkipping && this->input.empty() && response.keep_alive() && !response.need_eof();
+    return this->isWritten && !this->hasSkippedAnswer && this->input.empty() && response.keep_alive()
+        && !response.need_eof();
 }
 
 void HttpExchange::finish(HttpExchangeResult result, std::optional<HttpResponse> response)
 {
-    this->isOver = true;
+    this->isFinished = true;
     this->timer.cancel();
     HttpExchangeEnd end;
     end.result = result;
-    if (response && this->mayKeep(*response)) {
+    if (response && this->mayReuseConnection(*response)) {
         const double seconds = keepAliveSeconds(*response);
         if (seconds >= 0)
-            this->connection->keptFor = { seconds * MillisecondsPerSecond };
+            this->connection->keepAliveTimeout = { seconds * MillisecondsPerSecond };
         ++this->connection->exchanges;
         end.connection = std::move(this->connection);
     }
@@ -196,15 +197,15 @@
     complete(std::move(end));
 }
 
-void HttpExchange::endUnsent()
+void HttpExchange::abortUnsent()
 {
-    if (!this->isOver && !this->writingBegun)
+    if (!this->isFinished && !this->isWritingBegun)
         this->finish(HttpExchangeResult::NotSent, std::nullopt);
 }
 
 void HttpExchange::cancel()
 {
-    this->isOver = true;
+    this->isFinished = true;
     this->timer.cancel();
     this->closeConnection();
     this->completion = nullptr;
--- a/Source/Http/HttpExchange.h
+++ b/Source/Http/HttpExchange.h
@@ -43,19 +43,19 @@
     struct Options {
         NetworkAddress address;
         std::string request; // encoded
-        bool isHead = false; // a HEAD request; its answer has no body
+        bool isHeadRequest = false; // a HEAD request; its answer has no body
         Milliseconds connectTimeout{ 250 };
         Milliseconds timeout = Never; // from the start of writing to the end of the answer
-        bool isTimeoutOfSilence = false; // the timeout starts anew whenever bytes are received
-        std::size_t longestAnswer = 67108864; // bytes of the body
+        bool isIdleTimeout = false; // the timeout starts anew whenever bytes are received
+        std::size_t maxAnswerBytes = 67108864; // bytes of the body
         /** Returns false for an answer to another request, which is then skipped. If empty, every answer is accepted.
          */
-        std::function<bool(const HttpResponse&)> isOwnAnswer;
+        std::function<bool(const HttpResponse&)> isAnswerToRequest;
         /**
          * Called once for the header of each answer, before its body is complete. Also called for answers that are
          * skipped or break off later. May be empty.
          */
-        std::function<void(const HttpResponse&)> headerRead;
+        std::function<void(const HttpResponse&)> headerReceived;
     };
     using Completion = std::function<void(HttpExchangeEnd)>;
 
@@ -66,9 +66,9 @@
     /** Closes the connection; the completion is not called. */
     void cancel();
     /** Returns false while the connection is being made, when no byte of the request was sent. */
-    bool hasBegunWriting() const { return this->writingBegun; }
+    bool hasBegunWriting() const { return this->isWritingBegun; }
     /** Ends the exchange with the result NotSent; has no effect once writing has begun. */
-    void endUnsent();
+    void abortUnsent();
 
 private:
     using Parser = boost::beast::http::response_parser<boost::beast::http::string_body>;
@@ -78,31 +78,31 @@
     void read();
     void received(const asio::error_code& error, std::size_t size);
     void parse();
-    bool finishUnframed();
-    void tellHeader();
-    void answerParsed();
-    void newParser();
-    void limitTime(Milliseconds span, HttpExchangeResult result);
+    bool finishAnswerWithoutLength();
+    void reportHeader();
+    void answerComplete();
+    void resetParser();
+    void startTimeout(Milliseconds span, HttpExchangeResult result);
     void finish(HttpExchangeResult result, std::optional<HttpResponse> response);
-    bool mayKeep(const HttpResponse& response) const;
+    bool mayReuseConnection(const HttpResponse& response) const;
     void closeConnection();
 
     Options options;
     Completion completion;
     asio::io_context* context;
     Timer timer;
-    unsigned limitNumber = 0; // identifies the timeout in force; expiries of earlier ones are ignored
+    unsigned timeoutNumber = 0; // identifies the timeout in force; expiries of earlier ones are ignored
     std::shared_ptr<HttpConnection> connection;
     std::optional<Parser> parser;
     static constexpr std::size_t ReadSize = 8192;
     std::array<char, ReadSize> chunk{};
     std::string input; // read, not yet parsed
-    bool writingBegun = false;
+    bool isWritingBegun = false;
     bool isWritten = false;
     bool isReused = false;
-    bool isSkipping = false; // an answer to another request was skipped
-    bool isHeaderTold = false; // headerRead was called for the answer that is being read
-    bool isOver = false;
+    bool hasSkippedAnswer = false; // an answer to another request was skipped
+    bool isHeaderReported = false; // headerReceived was called for the answer that is being read
+    bool isFinished = false;
 };
 
 }
--- a/Source/Http/HttpListener.cpp
+++ b/Source/Http/HttpListener.cpp
@@ -14,7 +14,7 @@
  * The caller of a session that was active more recently may be sending a request. If nobody has connected for this
  * long, no caller is assumed to be connecting.
  */
-constexpr Milliseconds ShortestRest{ 200 };
+constexpr Milliseconds MinIdleTime{ 200 };
 
 /**
  * Attaches a socket filter that drops SYN segments and no others, so that no
@@ -23,7 +23,7 @@
  * each on a busy machine, one or two connections were lost. If the system does
  * not support the filter, such resets remain possible.
  */
-void dropOpeningSegments(int listeningSocket)
+void dropSynSegments(int listeningSocket)
 {
     constexpr std::uint32_t flagsOffset = 13; // in the header of a TCP segment
     constexpr std::uint32_t synAndAck = 0x12;
@@ -72,10 +72,10 @@
 
 void HttpListener::accept()
 {
-    this->acceptor.async_accept(this->caller, [this](const asio::error_code& error, asio::ip::tcp::socket socket) {
+    this->acceptor.async_accept(this->nextCaller, [this](const asio::error_code& error, asio::ip::tcp::socket socket) {
         // Kept even if the listener was closed meanwhile: destroying the socket would reset the connection.
         if (!error)
-            this->accepted(std::move(socket), this->caller);
+            this->accepted(std::move(socket), this->nextCaller);
         if (this->acceptor.is_open())
             this->accept();
     });
@@ -83,10 +83,10 @@
 
 void HttpListener::accepted(asio::ip::tcp::socket socket, const asio::ip::tcp::endpoint& from)
 {
-    if (this->open.size() >= this->mostSessions)
-        this->forgetClosed();
-    if (this->open.size() >= this->mostSessions) {
-        ++this->refused;
+    if (this->openSessions.size() >= this->maxSessions)
+        this->removeClosed();
+    if (this->openSessions.size() >= this->maxSessions) {
+        ++this->refusedCount;
         this->handler->sessionRefused();
         return;
     }
@@ -96,19 +96,19 @@
     if (this->closesAfterAnswers)
         session->closeAfterAnswer();
     this->acceptedAt = this->clock->now();
-    this->open.emplace(session->number(), session);
+    this->openSessions.emplace(session->number(), session);
     session->start();
 }
 
-void HttpListener::forgetClosed()
+void HttpListener::removeClosed()
 {
-    std::erase_if(this->open, [](const auto& item) {
+    std::erase_if(this->openSessions, [](const auto& item) {
         const auto session = item.second.lock();
         return !session || !session->isOpen();
     });
 }
 
-void HttpListener::takeWaiting()
+void HttpListener::acceptPending()
 {
     asio::error_code error;
     this->acceptor.non_blocking(true, error);
@@ -126,8 +126,8 @@
     if (!this->acceptor.is_open())
         return;
     if (!std::exchange(this->isRefusing, true))
-        dropOpeningSegments(this->acceptor.native_handle());
-    this->takeWaiting();
+        dropSynSegments(this->acceptor.native_handle());
+    this->acceptPending();
 }
 
 void HttpListener::stopAccepting()
@@ -138,15 +138,15 @@
     this->acceptor.close(ignored);
 }
 
-bool HttpListener::hasRested(const HttpSession& session) const
+bool HttpListener::isIdleLongEnough(const HttpSession& session) const
 {
-    return session.isIdle() && this->clock->now() - session.lastActiveAt() >= ShortestRest;
+    return session.isIdle() && this->clock->now() - session.lastActiveAt() >= MinIdleTime;
 }
 
 void HttpListener::closeAfterAnswers()
 {
     this->closesAfterAnswers = true;
-    for (const auto& [number, item] : this->open) {
+    for (const auto& [number, item] : this->openSessions) {
         if (const auto session = item.lock())
             session->closeAfterAnswer();
     }
@@ -154,17 +154,18 @@
 
 bool HttpListener::isSought() const
 {
-    return this->acceptor.is_open() && this->clock->now() - this->acceptedAt < ShortestRest;
+    return this->acceptor.is_open() && this->clock->now() - this->acceptedAt < MinIdleTime;
 }
 
 std::size_t HttpListener::unfinished() const
 {
     std::size_t count = 0;
-    for (const auto& [number, item] : this->open) {
+    for (const auto& [number, item] : this->openSessions) {
         const auto session = item.lock();
         if (!session || !session->isOpen())
             continue;
-        const bool mayBeSending = this->closesAfterAnswers && session->awaitsRequest() && !this->hasRested(*session);
+        const bool mayBeSending
+            = this->closesAfterAnswers && session->awaitsRequest() && !this->isIdleLongEnough(*session);
         count += session->isUnfinished() || mayBeSending ? 1 : 0;
     }
     return count;
@@ -172,21 +173,21 @@
 
 void HttpListener::closeIdle()
 {
-    for (const auto& [number, item] : this->open) {
+    for (const auto& [number, item] : this->openSessions) {
         const auto session = item.lock();
-        if (session && session->isOpen() && this->hasRested(*session))
+        if (session && session->isOpen() && this->isIdleLongEnough(*session))
             session->close();
     }
 }
 
 void HttpListener::tend()
 {
-    this->forgetClosed();
+    this->removeClosed();
     std::vector<std::shared_ptr<HttpSession>> sessions;
-    for (const auto& [number, item] : this->open)
+    for (const auto& [number, item] : this->openSessions)
         sessions.push_back(item.lock());
     for (const auto& session : sessions)
-        session->tend(this->clock->now());
+        session->enforceTimeLimits(this->clock->now());
 }
 
 }
--- a/Source/Http/HttpListener.h
+++ b/Source/Http/HttpListener.h
@@ -25,7 +25,7 @@
     /** Sets the limits of existing and new sessions. */
     void setLimits(const HttpSessionLimits& next) { this->limits = next; }
     /** Further connections are closed at once. */
-    void setMostSessions(std::size_t most) { this->mostSessions = most; }
+    void setMaxSessions(std::size_t most) { this->maxSessions = most; }
     /**
      * Drops attempts to connect from now on; connections that are already being
      * established are accepted. Callers get no error and keep trying, so
@@ -48,30 +48,30 @@
     std::size_t unfinished() const;
     /** Returns true if a caller connected within the last 200 ms, so that others may be about to connect. */
     bool isSought() const;
-    std::size_t sessions() const { return this->open.size(); }
-    std::uint64_t refusedSessions() const { return this->refused; }
+    std::size_t sessions() const { return this->openSessions.size(); }
+    std::uint64_t refusedSessions() const { return this->refusedCount; }
 
 private:
     void accept();
     void accepted(asio::ip::tcp::socket socket, const asio::ip::tcp::endpoint& from);
     /** Accepts all connections that wait to be accepted, without blocking. */
-    void takeWaiting();
-    void forgetClosed();
-    bool hasRested(const HttpSession& session) const;
+    void acceptPending();
+    void removeClosed();
+    bool isIdleLongEnough(const HttpSession& session) const;
 
     asio::ip::tcp::acceptor acceptor;
-    asio::ip::tcp::endpoint caller; // address of the connection that is accepted next
+    asio::ip::tcp::endpoint nextCaller; // address of the connection that is accepted next
     HttpSessionHandler* handler;
     const Clock* clock;
     HttpSessionLimits limits;
-    std::size_t mostSessions = 4000;
+    std::size_t maxSessions = 4000;
     std::uint64_t lastNumber = 0;
-    std::uint64_t refused = 0;
+    std::uint64_t refusedCount = 0;
     Milliseconds acceptedAt = LongAgo; // time at which the newest session was accepted
     bool closesAfterAnswers = false;
     bool isAccepting = false;
     bool isRefusing = false;
-    std::unordered_map<std::uint64_t, std::weak_ptr<HttpSession>> open;
+    std::unordered_map<std::uint64_t, std::weak_ptr<HttpSession>> openSessions;
 };
 
 }
--- a/Source/Http/HttpMessage.cpp
+++ b/Source/Http/HttpMessage.cpp
@@ -15,7 +15,7 @@
 
 namespace http = boost::beast::http;
 
-constexpr std::array<http::field, 9> ConnectionFields{
+constexpr std::array<http::field, 9> HopByHopFields{
     http::field::connection,
     http::field::keep_alive,
     http::field::proxy_connection,
@@ -39,7 +39,7 @@
 
 /** Returns all bytes that a serializer produces. */
 template <typename Serializer>
-std::string drain(Serializer& serializer)
+std::string serialize(Serializer& serializer)
 {
     std::string bytes;
     boost::beast::error_code error;
@@ -75,12 +75,12 @@
     fields.set(viewOf(name), viewOf(value));
 }
 
-bool concernsConnection(http::field name)
+bool isHopByHopField(http::field name)
 {
-    return std::find(ConnectionFields.begin(), ConnectionFields.end(), name) != ConnectionFields.end();
+    return std::find(HopByHopFields.begin(), HopByHopFields.end(), name) != HopByHopFields.end();
 }
 
-void removeConnectionFields(HttpFields& fields)
+void removeHopByHopFields(HttpFields& fields)
 {
     std::vector<std::string> named;
     for (auto range = fields.equal_range(http::field::connection); range.first != range.second; ++range.first) {
@@ -89,7 +89,7 @@
     }
     for (const std::string& name : named)
         fields.erase(viewOf(std::string_view(name)));
-    for (const http::field field : ConnectionFields)
+    for (const http::field field : HopByHopFields)
         fields.erase(field);
 }
 
@@ -100,7 +100,7 @@
     if (!request.body().empty() || usuallyHasBody)
         request.content_length(request.body().size());
     http::request_serializer<http::string_body> serializer(request);
-    return drain(serializer);
+    return serialize(serializer);
 }
 
 std::string encode(HttpResponse response, bool isAnswerToHead)
@@ -112,7 +112,7 @@
     if (isAnswerToHead)
         response.body().clear();
     http::response_serializer<http::string_body> serializer(response);
-    return drain(serializer);
+    return serialize(serializer);
 }
 
 double keepAliveSeconds(const HttpFields& fields)
--- a/Source/Http/HttpMessage.h
+++ b/Source/Http/HttpMessage.h
@@ -18,9 +18,9 @@
 void setField(HttpFields& fields, std::string_view name, std::string_view value);
 
 /** Returns true for hop-by-hop fields, which are not forwarded. */
-bool concernsConnection(boost::beast::http::field name);
+bool isHopByHopField(boost::beast::http::field name);
 /** Removes all hop-by-hop fields, including those named by the field Connection. */
-void removeConnectionFields(HttpFields& fields);
+void removeHopByHopFields(HttpFields& fields);
 
 /** Serializes a message. Content-Length is set if the message may have a body. */
 std::string encode(HttpRequest request);
--- a/Source/Http/HttpSession.cpp
+++ b/Source/Http/HttpSession.cpp
@@ -10,13 +10,13 @@
 namespace http = boost::beast::http;
 
 /** In bytes. While more is buffered than this, nothing is read from the caller. */
-constexpr std::size_t MostReadAhead = 65536;
+constexpr std::size_t MaxReadAheadBytes = 65536;
 /**
  * The number of pipelined requests of one connection that may be in progress or
  * have an unwritten answer. Bounds the share of the instance's capacity that one
  * caller can take by pipelining or by reading slowly.
  */
-constexpr std::size_t MostBegun = 8;
+constexpr std::size_t MaxUnfinishedRequests = 8;
 
 HttpRequestProblem problemOf(const boost::beast::error_code& error)
 {
@@ -43,23 +43,23 @@
 {
     asio::error_code ignored;
     this->socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-    this->newParser();
+    this->resetParser();
     this->read();
 }
 
-void HttpSession::newParser()
+void HttpSession::resetParser()
 {
     this->parser.emplace();
     this->parser->eager(true);
     this->parser->header_limit(static_cast<std::uint32_t>(this->limits->headerBytes));
     this->parser->body_limit(this->limits->bodyBytes);
-    this->requestBegan = Never;
-    this->wasContinued = false;
+    this->requestBeganAt = Never;
+    this->isContinueHandled = false;
 }
 
 bool HttpSession::isIdle() const
 {
-    return this->awaitsRequest() && this->input.empty() && this->requestBegan == Never && !this->hasUnreadBytes();
+    return this->awaitsRequest() && this->input.empty() && this->requestBeganAt == Never && !this->hasUnreadBytes();
 }
 
 bool HttpSession::hasUnreadBytes() const
@@ -94,7 +94,7 @@
         return this->abandon();
     this->lastActive = this->clock->now();
     this->input.append(this->chunk.data(), size);
-    this->advance();
+    this->processInput();
 }
 
 void HttpSession::abandon()
@@ -104,43 +104,44 @@
         this->handler->callerGone(this->shared_from_this());
 }
 
-void HttpSession::advance()
+void HttpSession::processInput()
 {
     while (this->socket.is_open() && this->mayParse()) {
-        if (!this->whole && !this->parse())
+        if (!this->completeRequest && !this->parse())
             break;
-        if (!this->mayBegin(this->whole->message))
+        if (!this->mayStart(this->completeRequest->message))
             break;
-        this->begin();
+        this->startRequest();
     }
-    if (this->isEnding)
+    if (this->isClosing)
         this->input.clear();
-    this->continueIfAsked();
-    if (this->input.size() < MostReadAhead)
+    this->sendContinueIfExpected();
+    if (this->input.size() < MaxReadAheadBytes)
         this->read();
 }
 
 bool HttpSession::mayParse() const
 {
-    const bool isLastBegun = this->isLast && this->isUnfinished();
-    return !this->isEnding && !isLastBegun && this->answers.mayBeFollowed() && this->answers.size() < MostBegun;
+    const bool isLastBegun = this->closesAfterNewest && this->isUnfinished();
+    return !this->isClosing && !isLastBegun && this->answers.mayReadNext()
+        && this->answers.size() < MaxUnfinishedRequests;
 }
 
 bool HttpSession::parse()
 {
     while (!this->input.empty()) {
-        if (this->requestBegan == Never)
-            this->requestBegan = this->clock->now();
+        if (this->requestBeganAt == Never)
+            this->requestBeganAt = this->clock->now();
         boost::beast::error_code error;
         const std::size_t used = this->parser->put(boost::asio::buffer(this->input), error);
         this->input.erase(0, used);
         if (error && error != http::error::need_more) {
-            this->unreadable(problemOf(error));
+            this->reportUnreadable(problemOf(error));
             return false;
         }
         if (this->parser->is_done()) {
-            this->whole = { .number = 0, .message = this->parser->release(), .readAt = this->clock->now() };
-            this->newParser();
+            this->completeRequest = { .number = 0, .message = this->parser->release(), .readAt = this->clock->now() };
+            this->resetParser();
             return true;
         }
         if (error == http::error::need_more || !used)
@@ -149,27 +150,27 @@
     return false;
 }
 
-bool HttpSession::mayBegin(const HttpRequest& request) const
+bool HttpSession::mayStart(const HttpRequest& request) const
 {
-    return !this->isUnfinished() || this->handler->mayBeginEarly(request);
+    return !this->isUnfinished() || this->handler->mayStartEarly(request);
 }
 
-void HttpSession::begin()
+void HttpSession::startRequest()
 {
-    ReadRequest request = std::move(*this->whole);
-    this->whole.reset();
-    request.number = this->answers.begin({ .version = request.message.version(),
-        .isHead = request.message.method() == http::verb::head,
+    ReadRequest request = std::move(*this->completeRequest);
+    this->completeRequest.reset();
+    request.number = this->answers.addRequest({ .version = request.message.version(),
+        .isHeadRequest = request.message.method() == http::verb::head,
         .keepsConnection = request.message.keep_alive() });
     this->handler->requestRead(this->shared_from_this(), std::move(request));
 }
 
-void HttpSession::continueIfAsked()
+void HttpSession::sendContinueIfExpected()
 {
     // While an earlier request is unanswered, the caller would take an interim answer for the answer to that request.
-    if (this->wasContinued || this->isUnfinished() || !this->parser->is_header_done())
+    if (this->isContinueHandled || this->isUnfinished() || !this->parser->is_header_done())
         return;
-    this->wasContinued = true;
+    this->isContinueHandled = true;
     if (!http::token_list(this->parser->get()[http::field::expect]).exists("100-continue"))
         return;
     static constexpr std::string_view interim = "HTTP/1.1 100 Continue\r\n\r\n";
@@ -177,17 +178,17 @@
         [self = this->shared_from_this()](const asio::error_code&, std::size_t) {});
 }
 
-void HttpSession::unreadable(HttpRequestProblem problem)
+void HttpSession::reportUnreadable(HttpRequestProblem problem)
 {
-    this->isLast = true;
+    this->closesAfterNewest = true;
     this->input.clear();
-    const HttpRequestNumber request = this->answers.begin({ .keepsConnection = false });
+    const HttpRequestNumber request = this->answers.addRequest({ .keepsConnection = false });
     this->handler->requestUnreadable(this->shared_from_this(), request, problem);
 }
 
 void HttpSession::answer(HttpRequestNumber request, HttpResponse response)
 {
-    if (this->socket.is_open() && this->answers.put(request, std::move(response)))
+    if (this->socket.is_open() && this->answers.setAnswer(request, std::move(response)))
         this->writeReady();
 }
 
@@ -195,10 +196,10 @@
 {
     if (!this->output.empty())
         return;
-    ReadyAnswers ready = this->answers.takeReady(this->isLast);
+    ReadyAnswers ready = this->answers.takeReady(this->closesAfterNewest);
     if (ready.bytes.empty())
         return;
-    this->isEnding = ready.isLast;
+    this->isClosing = ready.isLast;
     this->output = std::move(ready.bytes);
     asio::async_write(this->socket, asio::buffer(this->output),
         [self = this->shared_from_this()](const asio::error_code& error, std::size_t) { self->written(error); });
@@ -212,24 +213,24 @@
         return this->abandon();
     this->lastActive = this->clock->now();
     this->output.clear();
-    if (this->isEnding) {
+    if (this->isClosing) {
         // Closes only the sending side: closing the socket while the caller still sends would reset the connection,
         // and the caller could lose the answer.
         asio::error_code ignored;
         this->socket.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
     }
     this->writeReady();
-    this->advance();
+    this->processInput();
 }
 
-void HttpSession::tend(Milliseconds now)
+void HttpSession::enforceTimeLimits(Milliseconds now)
 {
     if (!this->socket.is_open() || !this->answers.isEmpty())
         return;
-    const bool isSlow = this->awaitsRequest() && !this->parser->is_header_done() && this->requestBegan != Never
-        && now - this->requestBegan > this->limits->headerTimeout;
+    const bool isSlow = this->awaitsRequest() && !this->parser->is_header_done() && this->requestBeganAt != Never
+        && now - this->requestBeganAt > this->limits->headerTimeout;
     if (isSlow)
-        return this->unreadable(HttpRequestProblem::TooSlow);
+        return this->reportUnreadable(HttpRequestProblem::TooSlow);
     if (now - this->lastActive > this->limits->idleTimeout && !this->hasUnreadBytes())
         this->close();
 }
--- a/Source/Http/HttpSession.h
+++ b/Source/Http/HttpSession.h
@@ -51,7 +51,7 @@
      * requests of its connection are answered. If the connection ends before its
      * answer, the caller sends the request again, so it must be repeatable.
      */
-    virtual bool mayBeginEarly(const HttpRequest&) const { return false; }
+    virtual bool mayStartEarly(const HttpRequest&) const { return false; }
     /** Called when a connection was closed at once because too many are open. */
     virtual void sessionRefused() { }
     /** Called when a connection was lost while some of its requests had no answer. */
@@ -90,10 +90,10 @@
     /** Answers a request. The answer is written once the answers to all earlier requests are. */
     void answer(HttpRequestNumber request, HttpResponse response);
     /** From now on, no request starts while another is unfinished, and the last answer closes the connection. */
-    void closeAfterAnswer() { this->isLast = true; }
+    void closeAfterAnswer() { this->closesAfterNewest = true; }
     void close();
     /** Closes an idle connection, and refuses a request whose header is incomplete, once its time limit has passed. */
-    void tend(Milliseconds now);
+    void enforceTimeLimits(Milliseconds now);
 
     std::uint64_t number() const { return this->sessionNumber; }
     const std::string& caller() const { return this->callerAddress; }
@@ -103,7 +103,7 @@
     /** Returns true if no request is being read or answered and no bytes wait to be read. */
     bool isIdle() const;
     /** Returns true while the next request is awaited or being read. */
-    bool awaitsRequest() const { return !this->isUnfinished() && !this->isEnding; }
+    bool awaitsRequest() const { return !this->isUnfinished() && !this->isClosing; }
     Milliseconds lastActiveAt() const { return this->lastActive; }
 
 private:
@@ -111,19 +111,19 @@
 
     /** Returns true if bytes have arrived that were not read yet; closing the socket would reset the connection. */
     bool hasUnreadBytes() const;
-    void newParser();
+    void resetParser();
     void read();
     void received(const asio::error_code& error, std::size_t size);
     /** Passes complete requests of the input to the handler as far as they may start, then goes on reading. */
-    void advance();
+    void processInput();
     /** Returns true if another request may be parsed from the input. */
     bool mayParse() const;
     /** Parses the input; returns true if a request is complete. */
     bool parse();
-    bool mayBegin(const HttpRequest& request) const;
-    void begin();
-    void unreadable(HttpRequestProblem problem);
-    void continueIfAsked();
+    bool mayStart(const HttpRequest& request) const;
+    void startRequest();
+    void reportUnreadable(HttpRequestProblem problem);
+    void sendContinueIfExpected();
     void writeReady();
     void written(const asio::error_code& error);
     /** Closes the connection, and tells the handler if a request has no answer. */
@@ -135,18 +135,18 @@
     HttpSessionHandler* handler;
     const Clock* clock;
     const HttpSessionLimits* limits;
-    AnswerOrder answers;
+    AnswerQueue answers;
     std::optional<Parser> parser;
-    std::optional<ReadRequest> whole; // complete, but not passed to the handler yet
+    std::optional<ReadRequest> completeRequest; // complete, but not passed to the handler yet
     static constexpr std::size_t ReadSize = 8192;
     std::array<char, ReadSize> chunk{};
     std::string input; // read, not yet parsed
     std::string output;
     bool isReading = false; // an asynchronous read is in progress
-    bool isLast = false; // the connection is closed after the answer to the newest request
-    bool isEnding = false; // the last answer was written or is being written
-    bool wasContinued = false; // "Expect: 100-continue" of the current request was handled
-    Milliseconds requestBegan = Never; // time of the first byte of the request that is being read
+    bool closesAfterNewest = false; // the connection is closed after the answer to the newest request
+    bool isClosing = false; // the last answer was written or is being written
+    bool isContinueHandled = false; // "Expect: 100-continue" of the current request was handled
+    Milliseconds requestBeganAt = Never; // time of the first byte of the request that is being read
     Milliseconds lastActive;
 };
 
--- a/Source/Operators/OperatorServer.cpp
+++ b/Source/Operators/OperatorServer.cpp
@@ -12,11 +12,11 @@
 constexpr std::size_t MaximumCallBytes = 1048576;
 constexpr const char* TextType = "text/plain; charset=utf-8";
 /** Timeouts for the control thread's answer; it is expected to answer much earlier. */
-constexpr Milliseconds LongestChange{ 20000 };
-constexpr Milliseconds LongestInquiry{ 5000 };
+constexpr Milliseconds ChangeTimeout{ 20000 };
+constexpr Milliseconds InquiryTimeout{ 5000 };
 
 /** Answers with a ChangeAnswer that holds one finding; in JSON, all answers list their findings under this name. */
-void answerFinding(httplib::Response& response, int status, std::string_view place, std::string_view message)
+void answerWithFinding(httplib::Response& response, int status, std::string_view place, std::string_view message)
 {
     v1::ChangeAnswer answer;
     answer.set_result(v1::CHANGE_REFUSED);
@@ -83,12 +83,12 @@
     this->server.Post(path, [this, handler](const httplib::Request& request, httplib::Response& response) {
         const std::string type = request.get_header_value("Content-Type");
         if (!isKnownType(type))
-            return answerFinding(response, StatusUnsupportedType, "Content-Type",
+            return answerWithFinding(response, StatusUnsupportedType, "Content-Type",
                 "is not supported; send application/json or application/x-protobuf");
         const bool asProtobuf = isProtobufType(type);
         Request message;
         if (const auto problem = decodeMessage(request.body, asProtobuf, message))
-            return answerFinding(response, StatusBadRequest, "/", *problem);
+            return answerWithFinding(response, StatusBadRequest, "/", *problem);
         const Answer answer = (this->*handler)(message);
         response.set_content(encodeMessage(answer, asProtobuf), asProtobuf ? ProtobufType : JsonType);
     });
@@ -111,7 +111,7 @@
 {
     const OperatorCallNumber call = this->changes.begin();
     this->sink->post(ChangeAsked{ .call = call, .request = request });
-    const auto answer = this->changes.wait(call, LongestChange);
+    const auto answer = this->changes.wait(call, ChangeTimeout);
     v1::ChangeAnswer unknown;
     unknown.set_result(v1::CHANGE_UNKNOWN);
     const v1::ChangeAnswer& given = answer ? *answer : unknown;
@@ -152,7 +152,7 @@
 {
     const OperatorCallNumber call = this->inquiries.begin();
     this->sink->post(InForceAsked{ .call = call });
-    return this->inquiries.wait(call, LongestInquiry).value_or(v1::ShowInForceAnswer());
+    return this->inquiries.wait(call, InquiryTimeout).value_or(v1::ShowInForceAnswer());
 }
 
 v1::ShowLoadAnswer OperatorServer::showLoad(const v1::ShowLoadRequest& request)
--- a/Source/Peers/Http2Session.cpp
+++ b/Source/Peers/Http2Session.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::uint32_t ConcurrentStreams = 1000;
 constexpr std::uint32_t WindowBytes = 4194304;
-constexpr std::size_t MostOutputBytes = 65536; // collected for one write
+constexpr std::size_t MaxOutputBytes = 65536; // collected for one write
 
 nghttp2_nv header(std::string_view name, std::string_view value)
 {
@@ -67,9 +67,9 @@
 
 void Http2Session::close()
 {
-    if (this->closed)
+    if (this->isClosed)
         return;
-    this->closed = true;
+    this->isClosed = true;
     asio::error_code ignored;
     this->socket.close(ignored);
     this->sessionClosed();
@@ -103,7 +103,7 @@
 {
     this->socket.async_read_some(
         asio::buffer(this->input), [self = this->shared_from_this()](const asio::error_code& error, std::size_t size) {
-            if (error || self->closed)
+            if (error || self->isClosed)
                 return self->close();
             self->metrics->peerBytesReceived += size;
             const auto used = nghttp2_session_mem_recv(self->session, self->input.data(), size);
@@ -112,17 +112,17 @@
                 return self->close();
             }
             self->flush();
-            if (!self->closed)
+            if (!self->isClosed)
                 self->read();
         });
 }
 
 void Http2Session::flush()
 {
-    if (this->isWriting || this->closed)
+    if (this->isWriting || this->isClosed)
         return;
     this->output.clear();
-    while (this->output.size() < MostOutputBytes) {
+    while (this->output.size() < MaxOutputBytes) {
         const std::uint8_t* data = nullptr;
         const ssize_t size = nghttp2_session_mem_send(this->session, &data);
         if (size < 0)
--- a/Source/Peers/Http2Session.h
+++ b/Source/Peers/Http2Session.h
@@ -41,7 +41,7 @@
     /** Sends the HTTP/2 settings and starts to read. */
     void open();
     void close();
-    bool isOpen() const { return this->socket.is_open() && !this->closed; }
+    bool isOpen() const { return this->socket.is_open() && !this->isClosed; }
 
 protected:
     /** Sends a request with this body; streamClosed() is called when it has ended. */
@@ -82,7 +82,7 @@
     std::array<std::uint8_t, 16384> input{};
     std::vector<std::uint8_t> output;
     bool isWriting = false;
-    bool closed = false;
+    bool isClosed = false;
     std::deque<Body> bodies;
 };
 
--- a/Source/Peers/PeerClient.cpp
+++ b/Source/Peers/PeerClient.cpp
@@ -27,7 +27,7 @@
 void PeerClient::tend()
 {
     std::erase_if(this->links, [](const auto& item) {
-        if (item.second->tend())
+        if (item.second->enforceTimeLimits())
             return false;
         item.second->close();
         return true;
--- a/Source/Peers/PeerClientSession.h
+++ b/Source/Peers/PeerClientSession.h
@@ -11,7 +11,7 @@
 
     void send(std::string message) { this->submitMessage(std::move(message)); }
     /** The number of messages that were sent and are not acknowledged yet. */
-    std::size_t unanswered() const { return this->openStreams(); }
+    std::size_t unacknowledged() const { return this->openStreams(); }
 
 private:
     void bodyReceived(std::int32_t, std::span<const std::uint8_t>) override { }
--- a/Source/Peers/PeerLink.cpp
+++ b/Source/Peers/PeerLink.cpp
@@ -15,40 +15,40 @@
     , options(givenOptions)
     , metrics(&givenMetrics)
     , connectTimer(givenContext)
-    , lastSend(givenClock.now())
-    , lastAnswered(givenClock.now())
+    , lastSentAt(givenClock.now())
+    , lastAcknowledgedAt(givenClock.now())
 {
 }
 
 void PeerLink::send(std::string message)
 {
     const Milliseconds now = this->clock->now();
-    this->lastSend = now;
+    this->lastSentAt = now;
     if (this->session && this->session->isOpen()) {
-        if (!this->session->unanswered())
-            this->lastAnswered = now;
+        if (!this->session->unacknowledged())
+            this->lastAcknowledgedAt = now;
         ++this->metrics->peerMessagesSent;
         return this->session->send(std::move(message));
     }
-    this->waiting.push_back({ .message = std::move(message), .deadline = now + this->options.messageDeadline });
-    if (this->waiting.size() > this->options.mostWaiting)
-        this->drop(1);
+    this->queue.push_back({ .message = std::move(message), .deadline = now + this->options.messageTimeout });
+    if (this->queue.size() > this->options.maxQueuedMessages)
+        this->dropOldest(1);
     this->connect();
 }
 
-void PeerLink::drop(std::size_t count)
+void PeerLink::dropOldest(std::size_t count)
 {
     this->metrics->peerMessagesDropped += count;
-    this->waiting.erase(this->waiting.begin(), this->waiting.begin() + static_cast<std::ptrdiff_t>(count));
+    this->queue.erase(this->queue.begin(), this->queue.begin() + static_cast<std::ptrdiff_t>(count));
 }
 
 void PeerLink::connect()
 {
     const Milliseconds now = this->clock->now();
-    if (this->isConnecting || now < this->nextConnect)
+    if (this->isConnecting || now < this->nextConnectAt)
         return;
     this->isConnecting = true;
-    this->nextConnect = now + this->options.reconnectGap;
+    this->nextConnectAt = now + this->options.reconnectInterval;
     const auto socket = std::make_shared<asio::ip::tcp::socket>(*this->context);
     asio::error_code error;
     const asio::ip::tcp::endpoint endpoint(asio::ip::make_address(this->address.host, error), this->address.port);
@@ -56,15 +56,15 @@
         self->isConnecting = false;
         self->connectTimer.cancel();
         if (failure)
-            return self->connectAgain();
+            return self->scheduleReconnect();
         self->session
             = std::make_shared<PeerClientSession>(std::move(*socket), Http2Session::Side::Client, *self->metrics);
         self->connected();
     });
-    this->watchConnecting(socket);
+    this->startConnectTimeout(socket);
 }
 
-void PeerLink::watchConnecting(const std::shared_ptr<asio::ip::tcp::socket>& socket)
+void PeerLink::startConnectTimeout(const std::shared_ptr<asio::ip::tcp::socket>& socket)
 {
     this->connectTimer.expires_after(toDuration(this->options.connectTimeout));
     this->connectTimer.async_wait([socket](const asio::error_code& cancelled) {
@@ -74,14 +74,14 @@
     });
 }
 
-void PeerLink::connectAgain()
+void PeerLink::scheduleReconnect()
 {
-    if (this->waiting.empty())
+    if (this->queue.empty())
         return;
-    const Milliseconds pause = std::max(Milliseconds{}, this->nextConnect - this->clock->now());
+    const Milliseconds pause = std::max(Milliseconds{}, this->nextConnectAt - this->clock->now());
     this->connectTimer.expires_after(toDuration(pause));
     this->connectTimer.async_wait([self = this->shared_from_this()](const asio::error_code& cancelled) {
-        if (!cancelled && !self->waiting.empty())
+        if (!cancelled && !self->queue.empty())
             self->connect();
     });
 }
@@ -89,30 +89,30 @@
 void PeerLink::connected()
 {
     this->session->open();
-    this->lastAnswered = this->clock->now();
-    while (!this->waiting.empty() && this->session->isOpen()) {
-        std::string message = std::move(this->waiting.front().message);
-        this->waiting.pop_front();
+    this->lastAcknowledgedAt = this->clock->now();
+    while (!this->queue.empty() && this->session->isOpen()) {
+        std::string message = std::move(this->queue.front().message);
+        this->queue.pop_front();
         ++this->metrics->peerMessagesSent;
         this->session->send(std::move(message));
     }
 }
 
-bool PeerLink::tend()
+bool PeerLink::enforceTimeLimits()
 {
     const Milliseconds now = this->clock->now();
-    while (!this->waiting.empty() && this->waiting.front().deadline <= now)
-        this->drop(1);
-    if (this->session && !this->session->unanswered())
-        this->lastAnswered = now;
-    const bool isStuck = this->session && now - this->lastAnswered > this->options.messageDeadline;
-    const bool isIdle = now - this->lastSend > this->options.idle;
+    while (!this->queue.empty() && this->queue.front().deadline <= now)
+        this->dropOldest(1);
+    if (this->session && !this->session->unacknowledged())
+        this->lastAcknowledgedAt = now;
+    const bool isStuck = this->session && now - this->lastAcknowledgedAt > this->options.messageTimeout;
+    const bool isIdle = now - this->lastSentAt > this->options.idleTimeout;
     if (this->session && (isStuck || isIdle || !this->session->isOpen())) {
-        this->metrics->peerMessagesDropped += this->session->unanswered();
+        this->metrics->peerMessagesDropped += this->session->unacknowledged();
         this->session->close();
         this->session.reset();
     }
-    if (!this->waiting.empty())
+    if (!this->queue.empty())
         this->connect();
     return !isIdle;
 }
@@ -122,7 +122,7 @@
     if (this->session)
         this->session->close();
     this->session.reset();
-    this->waiting.clear();
+    this->queue.clear();
     this->connectTimer.cancel();
 }
 
--- a/Source/Peers/PeerLink.h
+++ b/Source/Peers/PeerLink.h
@@ -23,12 +23,12 @@
 class PeerLink : public std::enable_shared_from_this<PeerLink> {
 public:
     struct Options {
-        Milliseconds messageDeadline{ 2000 };
-        Milliseconds reconnectGap{ 200 }; // shortest time from one attempt to connect to the next
+        Milliseconds messageTimeout{ 2000 };
+        Milliseconds reconnectInterval{ 200 }; // shortest time from one attempt to connect to the next
         /** A computer that is powered off does not refuse connections, and TCP repeats its SYN only after 1 s. */
         Milliseconds connectTimeout{ 250 };
-        Milliseconds idle{ 15000 }; // without a message to send; then the connection is closed
-        std::size_t mostWaiting = 512; // messages; the oldest one is dropped when there are more
+        Milliseconds idleTimeout{ 15000 }; // without a message to send; then the connection is closed
+        std::size_t maxQueuedMessages = 512; // messages; the oldest one is dropped when there are more
     };
 
     PeerLink(asio::io_context& context, const Clock& clock, NetworkAddress address, Options options,
@@ -40,25 +40,26 @@
      * Drops queued messages whose deadline has passed, and closes a connection that is idle or whose messages are not
      * acknowledged in time. Returns false if the link is idle and can be removed.
      */
-    bool tend();
+    bool enforceTimeLimits();
     void close();
 
 private:
     /** A queued message. */
-    struct Waiting {
+    struct QueuedMessage {
         std::string message;
         Milliseconds deadline;
     };
 
-    /** Starts an attempt to connect, unless one is in progress or the last one started less than reconnectGap ago. */
+    /** Starts an attempt to connect, unless one is in progress or the last one started less than reconnectInterval ago.
+     */
     void connect();
     /** Closes the socket if the attempt to connect exceeds its timeout. */
-    void watchConnecting(const std::shared_ptr<asio::ip::tcp::socket>& socket);
+    void startConnectTimeout(const std::shared_ptr<asio::ip::tcp::socket>& socket);
     /** Schedules another attempt to connect if messages are queued. */
-    void connectAgain();
+    void scheduleReconnect();
     void connected();
     /** Drops the oldest queued messages. */
-    void drop(std::size_t count);
+    void dropOldest(std::size_t count);
 
     asio::io_context* context;
     const Clock* clock;
@@ -66,12 +67,12 @@
     Options options;
     TrafficMetrics* metrics;
     std::shared_ptr<PeerClientSession> session;
-    std::deque<Waiting> waiting;
+    std::deque<QueuedMessage> queue;
     Timer connectTimer;
     bool isConnecting = false;
-    Milliseconds nextConnect = LongAgo; // earliest time of the next attempt to connect
-    Milliseconds lastSend;
-    Milliseconds lastAnswered; // last time at which no message was unacknowledged
+    Milliseconds nextConnectAt = LongAgo; // earliest time of the next attempt to connect
+    Milliseconds lastSentAt;
+    Milliseconds lastAcknowledgedAt; // last time at which no message was unacknowledged
 };
 
 }
--- a/Source/StoreClient/HttpStoreClient.cpp
+++ b/Source/StoreClient/HttpStoreClient.cpp
@@ -36,16 +36,16 @@
     options.connectTimeout = ConnectTimeout;
     options.timeout = request.timeout;
     // A large answer may take long as long as bytes arrive: repeating the call would load a busy link even more.
-    options.isTimeoutOfSilence = true;
+    options.isIdleTimeout = true;
     const auto exchange = std::make_shared<HttpExchange>(*this->context, std::move(options),
-        [this, request](HttpExchangeEnd end) { this->ended(request, std::move(end)); });
-    this->underWay[request.number] = exchange;
+        [this, request](HttpExchangeEnd end) { this->callEnded(request, std::move(end)); });
+    this->callsInFlight[request.number] = exchange;
     exchange->start(this->connections.take(PoolKey, Never));
 }
 
-void HttpStoreClient::ended(const StoreRequest& request, HttpExchangeEnd end)
+void HttpStoreClient::callEnded(const StoreRequest& request, HttpExchangeEnd end)
 {
-    this->underWay.erase(request.number);
+    this->callsInFlight.erase(request.number);
     StoreAnswer answer;
     answer.number = request.number;
     answer.status = statusOf(end.result);
@@ -53,16 +53,16 @@
         answer = this->wire->decode(request, *end.response);
     // After a refusal the connection is not reused: the next call may reach a store that accepts it.
     if (end.connection && answer.status != StoreStatus::Unknown && answer.status != StoreStatus::Refused)
-        this->connections.give(PoolKey, std::move(end.connection));
+        this->connections.add(PoolKey, std::move(end.connection));
     ++this->callCounts.at(static_cast<std::size_t>(request.operation)).at(static_cast<std::size_t>(answer.status));
     this->sink->post(StoreAnswered{ .answer = std::move(answer) });
 }
 
 void HttpStoreClient::stop()
 {
-    for (const auto& [number, exchange] : this->underWay)
+    for (const auto& [number, exchange] : this->callsInFlight)
         exchange->cancel();
-    this->underWay.clear();
+    this->callsInFlight.clear();
 }
 
 }
--- a/Source/StoreClient/HttpStoreClient.h
+++ b/Source/StoreClient/HttpStoreClient.h
@@ -31,20 +31,20 @@
     /** Starts a call; its result is posted as StoreAnswered. */
     void ask(const StoreRequest& request);
     /** Closes expired idle connections. */
-    void tend() { this->connections.tend(); }
+    void tend() { this->connections.closeExpired(); }
     /** Cancels all calls; no further results are posted. */
     void stop();
     const StoreCallCounts& counts() const { return this->callCounts; }
 
 private:
-    void ended(const StoreRequest& request, HttpExchangeEnd end);
+    void callEnded(const StoreRequest& request, HttpExchangeEnd end);
 
     asio::io_context* context;
     NetworkAddress address;
     const StoreWire* wire;
     EventSink* sink;
     HttpConnectionPool connections;
-    std::unordered_map<StoreCallNumber, std::shared_ptr<HttpExchange>> underWay;
+    std::unordered_map<StoreCallNumber, std::shared_ptr<HttpExchange>> callsInFlight;
     StoreCallCounts callCounts{};
 };
 
--- a/Source/Traffic/BearerKey.cpp
+++ b/Source/Traffic/BearerKey.cpp
@@ -9,16 +9,17 @@
 
 constexpr std::string_view Scheme = "Bearer";
 /** In characters. Longer keys are rejected unhashed: hashing happens before anything is known about the sender. */
-constexpr std::size_t LongestKey = 4096;
-constexpr std::string_view KeyMarks = "-._~+/=";
+constexpr std::size_t MaxKeyLength = 4096;
+constexpr std::string_view KeyPunctuation = "-._~+/=";
 
 bool isKeyCharacter(char character)
 {
-    return std::isalnum(static_cast<unsigned char>(character)) || KeyMarks.find(character) != std::string_view::npos;
+    return std::isalnum(static_cast<unsigned char>(character))
+        || KeyPunctuation.find(character) != std::string_view::npos;
 }
 
 /** Returns the key of a value of the form "Bearer KEY"; empty if the value has any other form. */
-std::string_view keyOf(std::string_view value)
+std::string_view parseBearerKey(std::string_view value)
 {
     if (value.size() <= Scheme.size() || !boost::beast::iequals(value.substr(0, Scheme.size()), Scheme))
         return {};
@@ -27,7 +28,7 @@
     if (begin == std::string_view::npos || !begin)
         return {};
     const std::string_view key = rest.substr(begin);
-    const bool isKey = key.size() <= LongestKey && std::all_of(key.begin(), key.end(), isKeyCharacter);
+    const bool isKey = key.size() <= MaxKeyLength && std::all_of(key.begin(), key.end(), isKeyCharacter);
     return isKey ? key : std::string_view();
 }
 
@@ -38,15 +39,15 @@
     const std::size_t count = fields.count({ KeyField.data(), KeyField.size() });
     if (!count)
         return {};
-    const std::string_view key = count == 1 ? keyOf(valueOf(fields, KeyField)) : std::string_view();
+    const std::string_view key = count == 1 ? parseBearerKey(valueOf(fields, KeyField)) : std::string_view();
     if (key.empty())
         return { .kind = Credential::Kind::Unreadable, .key = {} };
     return { .kind = Credential::Kind::Key, .key = digestOfKey(key) };
 }
 
-void writeCustomer(HttpFields& fields, std::string_view nameField, const CustomerWords& words)
+void writeCustomer(HttpFields& fields, std::string_view nameField, const ForwardedCustomer& words)
 {
-    if (!words.isKeyKept)
+    if (!words.withholdsKey)
         return;
     fields.erase({ KeyField.data(), KeyField.size() });
     fields.erase({ nameField.data(), nameField.size() });
--- a/Source/Traffic/BearerKey.h
+++ b/Source/Traffic/BearerKey.h
@@ -15,8 +15,8 @@
 Credential readBearerKey(const HttpFields& fields);
 
 /** The customer that is named to a backend server in place of the caller's key. */
-struct CustomerWords {
-    bool isKeyKept = false; // false: no customers are configured, and the caller's fields are forwarded unchanged
+struct ForwardedCustomer {
+    bool withholdsKey = false; // false: no customers are configured, and the caller's fields are forwarded unchanged
     std::string customer; // empty: the request belongs to no customer
 };
 
@@ -24,6 +24,6 @@
  * Removes the key from the request and sets the field nameField to the
  * customer's name. A value that the caller sent in that field is removed.
  */
-void writeCustomer(HttpFields& fields, std::string_view nameField, const CustomerWords& words);
+void writeCustomer(HttpFields& fields, std::string_view nameField, const ForwardedCustomer& words);
 
 }
--- a/Source/Traffic/LastingFields.cpp
+++ b/Source/Traffic/LastingFields.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /** Host is already part of the route; clients usually set the other fields anew for each attempt. */
-constexpr std::array<std::string_view, 5> LeftOut{ "host", "date", "traceparent", "tracestate", "x-request-id" };
+constexpr std::array<std::string_view, 5> IgnoredFields{ "host", "date", "traceparent", "tracestate", "x-request-id" };
 
 std::string lowerCase(std::string_view text)
 {
@@ -25,14 +25,14 @@
 
 }
 
-std::uint64_t lastingFieldsOf(const HttpRequest& request, const TrafficDialect& dialect)
+std::uint64_t hashStableFields(const HttpRequest& request, const TrafficDialect& dialect)
 {
     std::uint64_t sum = 0;
     for (const auto& field : request) {
         const auto given = field.name_string();
         const std::string name = lowerCase({ given.data(), given.size() });
-        const bool isLeftOut = std::find(LeftOut.begin(), LeftOut.end(), name) != LeftOut.end();
-        if (isLeftOut || concernsConnection(field.name()) || dialect.variesByAttempt(name))
+        const bool isLeftOut = std::find(IgnoredFields.begin(), IgnoredFields.end(), name) != IgnoredFields.end();
+        if (isLeftOut || isHopByHopField(field.name()) || dialect.variesByAttempt(name))
             continue;
         const std::string_view value{ field.value().data(), field.value().size() };
         // The sum is sent to other instances, and a short key could be recovered from a non-cryptographic hash.
--- a/Source/Traffic/LastingFields.h
+++ b/Source/Traffic/LastingFields.h
@@ -13,6 +13,6 @@
  * connection, the ids and times of one attempt, and trace contexts, which each
  * attempt starts anew.
  */
-std::uint64_t lastingFieldsOf(const HttpRequest& request, const TrafficDialect& dialect);
+std::uint64_t hashStableFields(const HttpRequest& request, const TrafficDialect& dialect);
 
 }
--- a/Source/Traffic/LoadText.cpp
+++ b/Source/Traffic/LoadText.cpp
@@ -13,7 +13,7 @@
 
 constexpr double MillisecondsPerSecond = 1000;
 /** Upper limit of a duration in a header field; keeps the numbers in range. */
-constexpr double LongestMilliseconds = 1e9;
+constexpr double MaxMilliseconds = 1e9;
 
 std::string_view trimmed(std::string_view text)
 {
@@ -58,21 +58,21 @@
     const auto number = parseNumber<std::uint64_t>(trimmed(text));
     if (!number)
         return std::nullopt;
-    return Milliseconds{ std::min(static_cast<double>(*number), LongestMilliseconds) };
+    return Milliseconds{ std::min(static_cast<double>(*number), MaxMilliseconds) };
 }
 
-std::string millisecondsText(Milliseconds span)
+std::string formatMilliseconds(Milliseconds span)
 {
-    const double bounded = std::clamp(std::floor(span.count), 1.0, LongestMilliseconds);
+    const double bounded = std::clamp(std::floor(span.count), 1.0, MaxMilliseconds);
     return std::to_string(static_cast<std::uint64_t>(bounded));
 }
 
-std::string secondsText(Milliseconds span)
+std::string formatSeconds(Milliseconds span)
 {
     constexpr int decimals = 3;
     constexpr std::size_t longest = 32;
     std::array<char, longest> digits{};
-    const double seconds = std::clamp(span.count, 0.0, LongestMilliseconds) / MillisecondsPerSecond;
+    const double seconds = std::clamp(span.count, 0.0, MaxMilliseconds) / MillisecondsPerSecond;
     const auto written = std::to_chars(digits.begin(), digits.end(), seconds, std::chars_format::fixed, decimals);
     return { digits.begin(), written.ptr };
 }
--- a/Source/Traffic/NamedLimit.cpp
+++ b/Source/Traffic/NamedLimit.cpp
@@ -11,7 +11,7 @@
     std::optional<double> lowest;
     const auto [first, last] = fields.equal_range({ name.data(), name.size() });
     for (auto field = first; field != last; ++field) {
-        const auto number = parsePlainNumber(trimmed({ field->value().data(), field->value().size() }));
+        const auto number = parseUnsignedDecimal(trimmed({ field->value().data(), field->value().size() }));
         if (number)
             lowest = std::min(*number, lowest.value_or(*number));
     }
--- a/Source/Traffic/OwnTrafficDialect.cpp
+++ b/Source/Traffic/OwnTrafficDialect.cpp
@@ -35,22 +35,22 @@
     return boost::beast::iequals(field, RequestIdHeader) || boost::beast::iequals(field, DeadlineHeader);
 }
 
-CallerWords OwnTrafficDialect::readCaller(const HttpRequest& request) const
+CallerFields OwnTrafficDialect::readCaller(const HttpRequest& request) const
 {
-    CallerWords words;
+    CallerFields words;
     words.requestId = valueOf(request, RequestIdHeader);
     words.credential = readBearerKey(request);
     const std::string_view deadline = valueOf(request, DeadlineHeader);
     if (!deadline.empty()) {
         words.timeLeft = parseMilliseconds(deadline);
-        words.isReadable = words.timeLeft.has_value();
+        words.isValid = words.timeLeft.has_value();
     }
     return words;
 }
 
-void OwnTrafficDialect::writeAttempt(HttpRequest& request, const AttemptWords& words) const
+void OwnTrafficDialect::writeAttempt(HttpRequest& request, const AttemptFields& words) const
 {
-    setField(request, DeadlineHeader, millisecondsText(words.timeLeft));
+    setField(request, DeadlineHeader, formatMilliseconds(words.timeLeft));
     setField(request, BackendServerHeader, words.backendServer);
     writeCustomer(request, CustomerHeader, words.customer);
 }
@@ -60,7 +60,7 @@
     setField(request, BackendServerHeader, backendServer);
 }
 
-bool OwnTrafficDialect::knowsAnswerField(std::string_view field) const
+bool OwnTrafficDialect::isKnownAnswerField(std::string_view field) const
 {
     return std::any_of(AnswerFields.begin(), AnswerFields.end(),
         [field](const char* known) { return boost::beast::iequals(field, known); });
@@ -111,14 +111,14 @@
     setField(response, OutcomeHeader, "answered");
 }
 
-HttpResponse OwnTrafficDialect::refusal(const RefuseRequest& refusal, std::string_view requestId) const
+HttpResponse OwnTrafficDialect::makeRefusal(const RefuseRequest& refusal, std::string_view requestId) const
 {
     HttpResponse response(statusOf(refusal), 11);
     if (!requestId.empty())
         setField(response, RequestIdHeader, requestId);
     setField(response, OutcomeHeader, refusal.outcome == RefusedOutcome::NotRun ? "not-run" : "unknown");
     setField(response, ReasonHeader, nameOf(refusal.reason));
-    setField(response, "Retry-After", secondsText(refusal.comeBackAfter));
+    setField(response, "Retry-After", formatSeconds(refusal.comeBackAfter));
     if (response.result() == http::status::unauthorized)
         setField(response, "WWW-Authenticate", "Bearer");
     setField(response, "Content-Type", "text/plain; charset=utf-8");
--- a/Source/Traffic/OwnTrafficDialect.h
+++ b/Source/Traffic/OwnTrafficDialect.h
@@ -7,17 +7,17 @@
 /** burlreach's own header fields (docs/OPERATIONS.md). */
 class OwnTrafficDialect final : public TrafficDialect {
 public:
-    CallerWords readCaller(const HttpRequest& request) const override;
+    CallerFields readCaller(const HttpRequest& request) const override;
     bool variesByAttempt(std::string_view field) const override;
-    void writeAttempt(HttpRequest& request, const AttemptWords& words) const override;
+    void writeAttempt(HttpRequest& request, const AttemptFields& words) const override;
     void writeProbe(HttpRequest& request, const std::string& backendServer) const override;
-    bool knowsAnswerField(std::string_view field) const override;
+    bool isKnownAnswerField(std::string_view field) const override;
     bool isAnswerTo(const HttpResponse& response, std::string_view requestId) const override;
     ServerNotice readNotice(const HttpResponse& response, std::string_view backendServer) const override;
     AttemptEnd readAnswer(const HttpResponse& response, std::string_view backendServer) const override;
     ProbeEnd readProbe(const HttpResponse& response, std::string_view backendServer) const override;
     void writeAnswer(HttpResponse& response) const override;
-    HttpResponse refusal(const RefuseRequest& refusal, std::string_view requestId) const override;
+    HttpResponse makeRefusal(const RefuseRequest& refusal, std::string_view requestId) const override;
 };
 
 }
--- a/Source/Traffic/PlainNumber.cpp
+++ b/Source/Traffic/PlainNumber.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::string_view Digits = "0123456789";
 
-bool isPlainNumber(std::string_view text)
+bool isUnsignedDecimal(std::string_view text)
 {
     const std::size_t whole = std::min(text.find_first_not_of(Digits), text.size());
     if (!whole || whole == text.size())
@@ -29,9 +29,9 @@
     return text.substr(first, text.find_last_not_of(' ') - first + 1);
 }
 
-std::optional<double> parsePlainNumber(std::string_view text)
+std::optional<double> parseUnsignedDecimal(std::string_view text)
 {
-    if (!isPlainNumber(text))
+    if (!isUnsignedDecimal(text))
         return std::nullopt;
     double number = 0;
     const auto read = std::from_chars(text.data(), text.data() + text.size(), number);
--- a/Source/Traffic/PlainNumber.h
+++ b/Source/Traffic/PlainNumber.h
@@ -13,6 +13,6 @@
  * nothing for any other text, such as a sign, an exponent or "inf". A number
  * that is out of range becomes the largest double, one that is too small zero.
  */
-std::optional<double> parsePlainNumber(std::string_view text);
+std::optional<double> parseUnsignedDecimal(std::string_view text);
 
 }
--- a/Source/Traffic/RefusalStatus.cpp
+++ b/Source/Traffic/RefusalStatus.cpp
@@ -37,7 +37,7 @@
     return isLate ? http::status::gateway_timeout : http::status::bad_gateway;
 }
 
-bool tellsWhenToComeBack(http::status status)
+bool needsRetryAfter(http::status status)
 {
     return static_cast<unsigned>(status) >= FirstErrorStatus || status == http::status::too_many_requests;
 }
--- a/Source/Traffic/RefusalStatus.h
+++ b/Source/Traffic/RefusalStatus.h
@@ -13,6 +13,6 @@
 boost::beast::http::status statusOf(const RefuseRequest& refusal);
 
 /** Returns true for statuses that are sent with a Retry-After field. */
-bool tellsWhenToComeBack(boost::beast::http::status status);
+bool needsRetryAfter(boost::beast::http::status status);
 
 }
--- a/Source/Traffic/RequestDesk.cpp
+++ b/Source/Traffic/RequestDesk.cpp
@@ -47,14 +47,14 @@
     , connections({}, *givenParts.clock)
 {
     this->listener.setLimits(this->options.limits);
-    this->listener.setMostSessions(this->options.mostSessions);
+    this->listener.setMaxSessions(this->options.mostSessions);
 }
 
 std::error_code RequestDesk::start()
 {
     if (const auto error = this->listener.listen(this->options.address))
         return error;
-    this->acceptTimer.expires_after(toDuration(this->options.longestWithoutConfiguration));
+    this->acceptTimer.expires_after(toDuration(this->options.maxWaitForConfiguration));
     this->acceptTimer.async_wait([this](const asio::error_code& error) {
         if (!error)
             this->listener.beginAccepting();
@@ -65,7 +65,7 @@
 void RequestDesk::tend()
 {
     this->listener.tend();
-    this->connections.tend();
+    this->connections.closeExpired();
     this->parts.metrics->openSessions = this->listener.sessions();
     this->parts.metrics->sessionsRefused = this->listener.refusedSessions();
 }
@@ -73,9 +73,9 @@
 void RequestDesk::requestRead(const std::shared_ptr<HttpSession>& session, ReadRequest read)
 {
     HttpRequest& message = read.message;
-    const CallerWords words = this->parts.dialect->readCaller(message);
+    const CallerFields words = this->parts.dialect->readCaller(message);
     const Milliseconds now = this->parts.clock->now();
-    const RequestNumber number = ++this->last;
+    const RequestNumber number = ++this->lastNumber;
     RequestArrived event;
     event.request = number;
     event.host = valueOf(message, "Host");
@@ -90,17 +90,17 @@
     event.digest = digestOf({ .host = event.host,
         .method = event.method,
         .path = event.path,
-        .fields = lastingFieldsOf(message, *this->parts.dialect),
+        .fields = hashStableFields(message, *this->parts.dialect),
         .body = message.body() });
     Request& request = this->requests[number];
     request.session = session;
-    request.place = read.number;
+    request.sessionRequest = read.number;
     request.message = std::move(message);
     request.requestId = words.requestId;
     request.arrivedAt = now;
-    this->bySession.emplace(session->number(), number);
+    this->requestsBySession.emplace(session->number(), number);
     this->parts.metrics->openRequests = this->requests.size();
-    if (words.isReadable)
+    if (words.isValid)
         return this->parts.sink->post(event);
     this->parts.sink->post(RefusedEarly{ .reason = RefusalReason::BadRequest });
     this->execute(RefuseRequest{ .request = number,
@@ -116,7 +116,7 @@
     session->answer(request, HttpResponse(statusOf(problem), HttpVersion));
 }
 
-bool RequestDesk::mayBeginEarly(const HttpRequest& request) const
+bool RequestDesk::mayStartEarly(const HttpRequest& request) const
 {
     return this->parts.repeats
         && this->parts.repeats->mayRepeat(valueOf(request, "Host"), request.method_string(), request.target());
@@ -130,10 +130,10 @@
 void RequestDesk::callerGone(const std::shared_ptr<HttpSession>& session)
 {
     std::vector<RequestNumber> gone;
-    const auto [first, end] = this->bySession.equal_range(session->number());
+    const auto [first, end] = this->requestsBySession.equal_range(session->number());
     for (auto item = first; item != end; ++item)
         gone.push_back(item->second);
-    this->bySession.erase(session->number());
+    this->requestsBySession.erase(session->number());
     for (const RequestNumber number : gone) {
         // Posted before the request is erased, because handling the event cancels the request's attempts.
         this->parts.sink->post(CallerGone{ .request = number });
@@ -142,23 +142,23 @@
     this->parts.metrics->openRequests = this->requests.size();
 }
 
-void RequestDesk::forgetOfSession(std::uint64_t session, RequestNumber number)
+void RequestDesk::removeFromSession(std::uint64_t session, RequestNumber number)
 {
-    const auto [first, end] = this->bySession.equal_range(session);
+    const auto [first, end] = this->requestsBySession.equal_range(session);
     const auto found = std::find_if(first, end, [number](const auto& item) { return item.second == number; });
     if (found != end)
-        this->bySession.erase(found);
+        this->requestsBySession.erase(found);
 }
 
-HttpRequest RequestDesk::forwarded(const Request& request, const SendAttempt& action) const
+HttpRequest RequestDesk::makeForwardedRequest(const Request& request, const SendAttempt& action) const
 {
     HttpRequest message = request.message;
-    removeConnectionFields(message);
+    removeHopByHopFields(message);
     message.version(HttpVersion);
     this->parts.dialect->writeAttempt(message,
         { .backendServer = action.backendServer,
             .timeLeft = action.timeLeft,
-            .customer = { .isKeyKept = action.isKeyKept, .customer = action.customer } });
+            .customer = { .withholdsKey = action.isKeyKept, .customer = action.customer } });
     return message;
 }
 
@@ -170,14 +170,15 @@
     Request& request = found->second;
     HttpExchange::Options exchange;
     exchange.address = action.address;
-    exchange.request = encode(this->forwarded(request, action));
-    exchange.isHead = request.message.method() == http::verb::head;
+    exchange.request = encode(this->makeForwardedRequest(request, action));
+    exchange.isHeadRequest = request.message.method() == http::verb::head;
     exchange.connectTimeout = this->options.connectTimeout;
-    exchange.isOwnAnswer = [dialect = this->parts.dialect, id = request.requestId](
-                               const HttpResponse& response) { return dialect->isAnswerTo(response, id); };
+    exchange.isAnswerToRequest = [dialect = this->parts.dialect, id = request.requestId](
+                                     const HttpResponse& response) { return dialect->isAnswerTo(response, id); };
     const Milliseconds now = this->parts.clock->now();
-    exchange.headerRead = [this, server = action.backendServer, life = action.life, now](
-                              const HttpResponse& header) { this->headerRead(server, life, now, header); };
+    exchange.headerReceived
+        = [this, server = action.backendServer, life = action.life, now](
+              const HttpResponse& header) { this->answerHeaderReceived(server, life, now, header); };
     const RequestNumber number = action.request;
     const AttemptNumber attempt = action.attempt;
     Attempt& started = request.attempts[attempt];
@@ -185,13 +186,13 @@
     started.sentAt = now;
     started.exchange = std::make_shared<HttpExchange>(*this->context, std::move(exchange),
         [this, number, attempt](HttpExchangeEnd end) { this->attemptEnded(number, attempt, std::move(end)); });
-    const Milliseconds longestIdle = action.mayRepeat ? Never : this->options.longestIdleRunOnce;
+    const Milliseconds longestIdle = action.mayRepeat ? Never : this->options.maxIdleForRunOnce;
     auto kept = this->connections.take(action.backendServer, longestIdle);
     ++(kept ? this->parts.metrics->connectionsReused : this->parts.metrics->connectionsOpened);
     started.exchange->start(std::move(kept));
 }
 
-void RequestDesk::headerRead(
+void RequestDesk::answerHeaderReceived(
     const std::string& backendServer, std::uint64_t life, Milliseconds sentAt, const HttpResponse& header)
 {
     // The notice is not left to the end of the attempt: the server of a retry is chosen there, the body may take long
@@ -200,12 +201,12 @@
     if (!notice.isEmpty())
         this->parts.sink->post(
             ServerNoticed{ .backendServer = backendServer, .life = life, .notice = notice, .sentAt = sentAt });
-    for (UnreadField& field : this->unreadFields.newOnes(header, *this->parts.dialect))
+    for (UnreadField& field : this->unreadFields.findNew(header, *this->parts.dialect))
         this->parts.sink->post(UnreadFieldSeen{
             .backendServer = backendServer, .field = std::move(field.name), .value = std::move(field.value) });
 }
 
-AttemptEnd RequestDesk::endOf(const HttpExchangeEnd& end, const std::string& backendServer) const
+AttemptEnd RequestDesk::attemptEndOf(const HttpExchangeEnd& end, const std::string& backendServer) const
 {
     if (end.response)
         return this->parts.dialect->readAnswer(*end.response, backendServer);
@@ -227,8 +228,8 @@
     event.request = number;
     event.attempt = attempt;
     event.backendServer = ended.backendServer;
-    event.end = this->endOf(end, ended.backendServer);
-    this->keep(ended.backendServer, end);
+    event.end = this->attemptEndOf(end, ended.backendServer);
+    this->returnConnection(ended.backendServer, end);
     ended.response = std::move(end.response);
     ended.exchange.reset();
     const Milliseconds took = this->parts.clock->now() - ended.sentAt;
@@ -237,10 +238,10 @@
     this->parts.sink->post(event);
 }
 
-void RequestDesk::keep(const std::string& backendServer, HttpExchangeEnd& end)
+void RequestDesk::returnConnection(const std::string& backendServer, HttpExchangeEnd& end)
 {
     if (end.connection)
-        this->connections.give(backendServer, std::move(end.connection));
+        this->connections.add(backendServer, std::move(end.connection));
 }
 
 void RequestDesk::execute(const CancelAttempt& action)
@@ -263,10 +264,10 @@
     std::optional<HttpResponse> response = std::move(found->second.attempts[action.attempt].response);
     if (!response)
         return;
-    removeConnectionFields(*response);
+    removeHopByHopFields(*response);
     this->parts.dialect->writeAnswer(*response);
     this->parts.metrics->answered.add(this->parts.clock->now() - found->second.arrivedAt);
-    this->finish(action.request, std::move(*response));
+    this->sendAnswer(action.request, std::move(*response));
 }
 
 void RequestDesk::execute(const RefuseRequest& action)
@@ -275,14 +276,14 @@
     if (found == this->requests.end())
         return;
     this->parts.metrics->refused.add(this->parts.clock->now() - found->second.arrivedAt);
-    this->finish(action.request, this->parts.dialect->refusal(action, found->second.requestId));
+    this->sendAnswer(action.request, this->parts.dialect->makeRefusal(action, found->second.requestId));
 }
 
-void RequestDesk::finish(RequestNumber number, HttpResponse response)
+void RequestDesk::sendAnswer(RequestNumber number, HttpResponse response)
 {
     const auto found = this->requests.find(number);
     const auto session = found->second.session.lock();
-    const HttpRequestNumber place = found->second.place;
+    const HttpRequestNumber place = found->second.sessionRequest;
     const Milliseconds total = this->parts.clock->now() - found->second.arrivedAt;
     this->parts.metrics->added.add(total - std::min(total, found->second.atBackendServer));
     for (auto& [attempt, item] : found->second.attempts) {
@@ -293,7 +294,7 @@
     this->parts.metrics->openRequests = this->requests.size();
     if (!session)
         return;
-    this->forgetOfSession(session->number(), number);
+    this->removeFromSession(session->number(), number);
     session->answer(place, std::move(response));
 }
 
@@ -301,10 +302,10 @@
 {
     auto kept = this->connections.take(action.probe.backendServer, Never);
     ++(kept ? this->parts.metrics->connectionsReused : this->parts.metrics->connectionsOpened);
-    this->probe(action.probe, std::move(kept));
+    this->startProbe(action.probe, std::move(kept));
 }
 
-void RequestDesk::probe(const Probe& probe, std::shared_ptr<HttpConnection> kept)
+void RequestDesk::startProbe(const Probe& probe, std::shared_ptr<HttpConnection> kept)
 {
     HttpRequest message(http::verb::get, probe.path, HttpVersion);
     message.set(http::field::host, probe.address.text());
@@ -314,8 +315,8 @@
     options.request = encode(std::move(message));
     options.connectTimeout = this->options.connectTimeout;
     options.timeout = probe.timeout;
-    options.headerRead = [this, server = probe.backendServer, life = probe.life, now = this->parts.clock->now()](
-                             const HttpResponse& header) { this->headerRead(server, life, now, header); };
+    options.headerReceived = [this, server = probe.backendServer, life = probe.life, now = this->parts.clock->now()](
+                                 const HttpResponse& header) { this->answerHeaderReceived(server, life, now, header); };
     const bool wasKept = kept != nullptr;
     const auto exchange = std::make_shared<HttpExchange>(*this->context, std::move(options),
         [this, probe, wasKept](HttpExchangeEnd end) { this->probeEnded(probe, wasKept, std::move(end)); });
@@ -327,11 +328,11 @@
     const bool wasClosed = end.result == HttpExchangeResult::Broken || end.result == HttpExchangeResult::NotSent;
     // The server may have closed the idle connection just before the probe was sent; try a new connection.
     if (wasKept && wasClosed)
-        return this->probe(probe, nullptr);
+        return this->startProbe(probe, nullptr);
     ProbeEnd ended;
     if (end.response)
         ended = this->parts.dialect->readProbe(*end.response, probe.backendServer);
-    this->keep(probe.backendServer, end);
+    this->returnConnection(probe.backendServer, end);
     this->parts.sink->post(ProbeEnded{ .probe = probe.number, .end = ended });
 }
 
@@ -345,7 +346,7 @@
             else if (error)
                 checked.result = ServerCheck::NoAnswer;
             if (opened)
-                this->connections.give(server, std::move(opened));
+                this->connections.add(server, std::move(opened));
             this->parts.sink->post(checked);
         });
 }
@@ -363,7 +364,7 @@
         }
     }
     for (const auto& exchange : unsent)
-        exchange->endUnsent();
+        exchange->abortUnsent();
 }
 
 void RequestDesk::execute(const SetCallerLimits& action)
--- a/Source/Traffic/RequestDesk.h
+++ b/Source/Traffic/RequestDesk.h
@@ -41,9 +41,9 @@
          * give up. With 400 ms, after a loss of all 95 instances, half of the refused requests would have been served
          * within 0.2 s more, and the last within 0.6 s.
          */
-        Milliseconds longestWithoutConfiguration{ 850 };
+        Milliseconds maxWaitForConfiguration{ 850 };
         /** Longest idle time of a kept connection on which a run-once request may be sent. */
-        Milliseconds longestIdleRunOnce{ 1000 };
+        Milliseconds maxIdleForRunOnce{ 1000 };
     };
 
     struct Parts {
@@ -59,7 +59,7 @@
     /**
      * Listens for callers. They can connect at once, but connections are
      * accepted only after the first configuration or, if there is none, after
-     * longestWithoutConfiguration.
+     * maxWaitForConfiguration.
      */
     std::error_code start();
     HttpListener& sessions() { return this->listener; }
@@ -89,7 +89,7 @@
     /** A request whose caller waits for an answer. */
     struct Request {
         std::weak_ptr<HttpSession> session;
-        HttpRequestNumber place = 0; // its number within the session
+        HttpRequestNumber sessionRequest = 0; // its number within the session
         HttpRequest message;
         std::string requestId;
         Milliseconds arrivedAt;
@@ -100,21 +100,21 @@
     void requestRead(const std::shared_ptr<HttpSession>& session, ReadRequest request) override;
     void requestUnreadable(
         const std::shared_ptr<HttpSession>& session, HttpRequestNumber request, HttpRequestProblem problem) override;
-    bool mayBeginEarly(const HttpRequest& request) const override;
+    bool mayStartEarly(const HttpRequest& request) const override;
     void callerGone(const std::shared_ptr<HttpSession>& session) override;
     void sessionRefused() override;
 
     /** Called for the header of each answer to a request or probe sent at sentAt, even if the answer is unusable. */
-    void headerRead(
+    void answerHeaderReceived(
         const std::string& backendServer, std::uint64_t life, Milliseconds sentAt, const HttpResponse& header);
-    HttpRequest forwarded(const Request& request, const SendAttempt& action) const;
+    HttpRequest makeForwardedRequest(const Request& request, const SendAttempt& action) const;
     void attemptEnded(RequestNumber number, AttemptNumber attempt, HttpExchangeEnd end);
-    AttemptEnd endOf(const HttpExchangeEnd& end, const std::string& backendServer) const;
+    AttemptEnd attemptEndOf(const HttpExchangeEnd& end, const std::string& backendServer) const;
     void probeEnded(const Probe& probe, bool wasKept, HttpExchangeEnd end);
-    void probe(const Probe& probe, std::shared_ptr<HttpConnection> kept);
-    void keep(const std::string& backendServer, HttpExchangeEnd& end);
-    void finish(RequestNumber number, HttpResponse response);
-    void forgetOfSession(std::uint64_t session, RequestNumber number);
+    void startProbe(const Probe& probe, std::shared_ptr<HttpConnection> kept);
+    void returnConnection(const std::string& backendServer, HttpExchangeEnd& end);
+    void sendAnswer(RequestNumber number, HttpResponse response);
+    void removeFromSession(std::uint64_t session, RequestNumber number);
 
     asio::io_context* context;
     Options options;
@@ -124,8 +124,8 @@
     HttpConnectionPool connections;
     UnreadFields unreadFields;
     std::unordered_map<RequestNumber, Request> requests;
-    std::unordered_multimap<std::uint64_t, RequestNumber> bySession;
-    RequestNumber last = 0;
+    std::unordered_multimap<std::uint64_t, RequestNumber> requestsBySession;
+    RequestNumber lastNumber = 0;
 };
 
 }
--- a/Source/Traffic/RetryAfter.cpp
+++ b/Source/Traffic/RetryAfter.cpp
@@ -15,17 +15,17 @@
 
 constexpr double MillisecondsPerSecond = 1000;
 /** 30,000 years; keeps times finite. */
-constexpr Milliseconds Longest{ 1e15 };
+constexpr Milliseconds MaxDelay{ 1e15 };
 /** The preferred date format of HTTP, then the two obsolete ones that a recipient must still accept. */
-constexpr std::array<const char*, 3> DateForms{ "%a, %d %b %Y %H:%M:%S GMT", "%a, %d-%b-%y %H:%M:%S GMT",
+constexpr std::array<const char*, 3> DateFormats{ "%a, %d %b %Y %H:%M:%S GMT", "%a, %d-%b-%y %H:%M:%S GMT",
     "%a %b %d %H:%M:%S %Y" };
 
 Milliseconds spanOf(double seconds)
 {
-    return std::min(Longest, Milliseconds{ seconds * MillisecondsPerSecond });
+    return std::min(MaxDelay, Milliseconds{ seconds * MillisecondsPerSecond });
 }
 
-std::chrono::sys_seconds timeOf(const std::tm& fields)
+std::chrono::sys_seconds toSystemTime(const std::tm& fields)
 {
     constexpr int firstYear = 1900;
     const std::chrono::year_month_day day{ std::chrono::year(fields.tm_year + firstYear),
@@ -35,21 +35,21 @@
         + std::chrono::seconds(fields.tm_sec);
 }
 
-std::optional<std::chrono::sys_seconds> dateOf(std::string_view text)
+std::optional<std::chrono::sys_seconds> parseDate(std::string_view text)
 {
     const std::string whole(text);
-    for (const char* form : DateForms) {
+    for (const char* form : DateFormats) {
         std::tm fields{};
         const char* end = strptime(whole.c_str(), form, &fields);
         if (end && !*end)
-            return timeOf(fields);
+            return toSystemTime(fields);
     }
     return std::nullopt;
 }
 
 std::chrono::sys_seconds sentAt(const HttpFields& fields)
 {
-    if (const auto told = dateOf(trimmed(valueOf(fields, "Date"))))
+    if (const auto told = parseDate(trimmed(valueOf(fields, "Date"))))
         return *told;
     return std::chrono::floor<std::chrono::seconds>(std::chrono::system_clock::now());
 }
@@ -59,9 +59,9 @@
 std::optional<Milliseconds> retryAfterOf(const HttpFields& fields)
 {
     const std::string_view text = trimmed(valueOf(fields, "Retry-After"));
-    if (const auto seconds = parsePlainNumber(text))
+    if (const auto seconds = parseUnsignedDecimal(text))
         return spanOf(*seconds);
-    const auto until = text.empty() ? std::nullopt : dateOf(text);
+    const auto until = text.empty() ? std::nullopt : parseDate(text);
     if (!until)
         return std::nullopt;
     const std::chrono::duration<double, std::milli> span = *until - sentAt(fields);
--- a/Source/Traffic/TrafficDialect.h
+++ b/Source/Traffic/TrafficDialect.h
@@ -12,18 +12,18 @@
 namespace burlreach {
 
 /** What a caller's header fields say about its request. */
-struct CallerWords {
+struct CallerFields {
     std::string requestId; // empty: none was sent
     std::optional<Milliseconds> timeLeft; // until the caller's deadline
     Credential credential;
-    bool isReadable = true; // false: a field of the dialect is invalid or a required one is missing
+    bool isValid = true; // false: a field of the dialect is invalid or a required one is missing
 };
 
 /** What is sent to a backend server with an attempt, in header fields. */
-struct AttemptWords {
+struct AttemptFields {
     std::string backendServer; // the server that is meant; any other one must refuse the request
     Milliseconds timeLeft; // until the final answer is due
-    CustomerWords customer;
+    ForwardedCustomer customer;
 };
 
 /** Reads and writes the header fields and statuses that callers, instances and backend servers exchange. */
@@ -31,14 +31,14 @@
 public:
     virtual ~TrafficDialect() = default;
 
-    virtual CallerWords readCaller(const HttpRequest& request) const = 0;
+    virtual CallerFields readCaller(const HttpRequest& request) const = 0;
     /** Returns true for fields whose value changes when a request is repeated, such as its id. */
     virtual bool variesByAttempt(std::string_view field) const = 0;
-    virtual void writeAttempt(HttpRequest& request, const AttemptWords& words) const = 0;
+    virtual void writeAttempt(HttpRequest& request, const AttemptFields& words) const = 0;
     virtual void writeProbe(HttpRequest& request, const std::string& backendServer) const = 0;
 
     /** Returns true for answer fields that the dialect defines, whether or not their value is used. */
-    virtual bool knowsAnswerField(std::string_view field) const = 0;
+    virtual bool isKnownAnswerField(std::string_view field) const = 0;
     /** Returns false if a backend server's answer belongs to another request. */
     virtual bool isAnswerTo(const HttpResponse& response, std::string_view requestId) const = 0;
     /** Reads what the server announces in the header of any answer; the notice is empty if another server answered. */
@@ -49,7 +49,7 @@
     /** Adds the fields that callers get with a backend server's answer. */
     virtual void writeAnswer(HttpResponse& response) const = 0;
     /** Makes the answer for a refused request. */
-    virtual HttpResponse refusal(const RefuseRequest& refusal, std::string_view requestId) const = 0;
+    virtual HttpResponse makeRefusal(const RefuseRequest& refusal, std::string_view requestId) const = 0;
 };
 
 }
--- a/Source/Traffic/UnreadFields.cpp
+++ b/Source/Traffic/UnreadFields.cpp
@@ -8,28 +8,28 @@
 namespace {
 
 /** Bounds memory and log lines when a server sends ever new field names. */
-constexpr std::size_t MostNames = 32;
+constexpr std::size_t MaxNames = 32;
 /** In bytes; names and values are reported up to this length. */
-constexpr std::size_t LongestText = 64;
+constexpr std::size_t MaxTextBytes = 64;
 
-std::string beginningOf(std::string_view text)
+std::string truncated(std::string_view text)
 {
-    return std::string(text.substr(0, LongestText));
+    return std::string(text.substr(0, MaxTextBytes));
 }
 
 }
 
-std::vector<UnreadField> UnreadFields::newOnes(const HttpResponse& header, const TrafficDialect& dialect)
+std::vector<UnreadField> UnreadFields::findNew(const HttpResponse& header, const TrafficDialect& dialect)
 {
     std::vector<UnreadField> found;
     for (const auto& field : header) {
         const std::string_view name(field.name_string().data(), field.name_string().size());
-        const bool isKnown = field.name() != boost::beast::http::field::unknown || dialect.knowsAnswerField(name);
-        if (isKnown || this->seen.size() >= MostNames || this->seen.contains(name))
+        const bool isKnown = field.name() != boost::beast::http::field::unknown || dialect.isKnownAnswerField(name);
+        if (isKnown || this->seenNames.size() >= MaxNames || this->seenNames.contains(name))
             continue;
-        this->seen.emplace(name);
+        this->seenNames.emplace(name);
         found.push_back(
-            { .name = beginningOf(name), .value = beginningOf({ field.value().data(), field.value().size() }) });
+            { .name = truncated(name), .value = truncated({ field.value().data(), field.value().size() }) });
     }
     return found;
 }
--- a/Source/Traffic/UnreadFields.h
+++ b/Source/Traffic/UnreadFields.h
@@ -22,10 +22,10 @@
 class UnreadFields {
 public:
     /** Returns the unknown fields of this header whose names were not seen before. */
-    std::vector<UnreadField> newOnes(const HttpResponse& header, const TrafficDialect& dialect);
+    std::vector<UnreadField> findNew(const HttpResponse& header, const TrafficDialect& dialect);
 
 private:
-    std::set<std::string, std::less<>> seen; // names, case-sensitive
+    std::set<std::string, std::less<>> seenNames; // names, case-sensitive
 };
 
 }
--- a/Tests/Http/AnswerOrderTest.cpp
+++ b/Tests/Http/AnswerOrderTest.cpp
@@ -60,16 +60,16 @@
     return summary + (ready.isLast ? "|" : "");
 }
 
-std::string play(AnswerOrder& order, const std::vector<Step>& steps)
+std::string play(AnswerQueue& order, const std::vector<Step>& steps)
 {
     std::string written;
     for (const Step& step : steps) {
         if (step.what == 'b' || step.what == 'c') {
-            LONGS_EQUAL(step.request, order.begin({ .keepsConnection = step.what == 'b' }));
-            CHECK_EQUAL(step.what == 'b', order.mayBeFollowed());
+            LONGS_EQUAL(step.request, order.addRequest({ .keepsConnection = step.what == 'b' }));
+            CHECK_EQUAL(step.what == 'b', order.mayReadNext());
             continue;
         }
-        order.put(step.request, responseOf(step.request));
+        order.setAnswer(step.request, responseOf(step.request));
         written += summaryOf(order.takeReady(step.what == 'e'));
     }
     return written;
@@ -82,7 +82,7 @@
 TEST(AnswerOrder, AnswersGoOutInTheOrderOfTheRequests)
 {
     for (const Case& item : Cases) {
-        AnswerOrder order;
+        AnswerQueue order;
         STRCMP_EQUAL_TEXT(item.written, play(order, item.steps).c_str(), item.name);
         CHECK_EQUAL_TEXT(item.hasUnanswered, order.hasUnanswered(), item.name);
         CHECK_EQUAL_TEXT(!item.hasUnanswered, order.isEmpty(), item.name);
@@ -91,9 +91,9 @@
 
 TEST(AnswerOrder, AnAnswerToHeadHasNoBody)
 {
-    AnswerOrder order;
-    order.begin({ .isHead = true });
-    CHECK(order.put(1, responseOf(1)));
+    AnswerQueue order;
+    order.addRequest({ .isHeadRequest = true });
+    CHECK(order.setAnswer(1, responseOf(1)));
     const ReadyAnswers ready = order.takeReady(false);
     CHECK(ready.bytes.find("Content-Length: 5") != std::string::npos);
     CHECK(ready.bytes.find("body") == std::string::npos);
--- a/Tests/Http/HttpExchangeTest.cpp
+++ b/Tests/Http/HttpExchangeTest.cpp
@@ -142,7 +142,7 @@
             HttpExchange::Options{ .address = server.address(),
                 .request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n",
                 .timeout = { 300 },
-                .isOwnAnswer = &isOwn },
+                .isAnswerToRequest = &isOwn },
             [&](HttpExchangeEnd end) {
                 result = end.result;
                 body = end.response ? end.response->body() : "";
@@ -182,7 +182,7 @@
             .request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n",
             .connectTimeout = { 10 },
             .timeout = { 2000 },
-            .isOwnAnswer = &isOwn },
+            .isAnswerToRequest = &isOwn },
         [&](const HttpExchangeEnd& end) { result = end.result; });
     asio::post(context, [&] {
         exchange->start(nullptr);
@@ -204,7 +204,7 @@
             HttpExchange::Options{ .address = server.address(),
                 .request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n",
                 .timeout = { 250 },
-                .isTimeoutOfSilence = isOfSilence },
+                .isIdleTimeout = isOfSilence },
             [&](const HttpExchangeEnd& end) { result = end.result; });
         exchange->start(nullptr);
         context.run();
@@ -254,7 +254,7 @@
         asio::ip::tcp::socket far = acceptor.accept();
         near.non_blocking(true);
         HttpConnectionPool pool({}, clock);
-        pool.give("s", std::make_shared<HttpConnection>(std::move(near)));
+        pool.add("s", std::make_shared<HttpConnection>(std::move(near)));
         LONGS_EQUAL(1, pool.size());
         if (sends) {
             asio::write(far, asio::buffer(std::string("late")));
@@ -275,7 +275,7 @@
     const asio::ip::tcp::socket far = acceptor.accept();
     near.non_blocking(true);
     HttpConnectionPool pool({}, clock);
-    pool.give("s", std::make_shared<HttpConnection>(std::move(near)));
+    pool.add("s", std::make_shared<HttpConnection>(std::move(near)));
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
     CHECK(!pool.take("s", { 5 }));
     CHECK(pool.take("s", Never) != nullptr);
--- a/Tests/Platform/AskedPausesTest.cpp
+++ b/Tests/Platform/AskedPausesTest.cpp
@@ -116,7 +116,7 @@
     for (const Case& item : Cases) {
         this->turnAway(item.fields);
         this->addOther();
-        this->instance->pass(item.after);
+        this->instance->runFor(item.after);
         const std::size_t requests = this->asking->requests();
         const std::size_t probes = this->asking->probes();
         for (int call = 0; call < 5; ++call)
--- a/Tests/Platform/HeaderDialectTest.cpp
+++ b/Tests/Platform/HeaderDialectTest.cpp
@@ -127,8 +127,8 @@
 {
     for (const char* field : { "Request-Id", "Server-Signature", "Not-Executed", "Instance-Id", "Instance-Load",
              "Cold-Ms", "Server-Leaving" })
-        CHECK_TEXT(this->dialect.knowsAnswerField(field), field);
-    CHECK_FALSE(this->dialect.knowsAnswerField("Server-Mood"));
+        CHECK_TEXT(this->dialect.isKnownAnswerField(field), field);
+    CHECK_FALSE(this->dialect.isKnownAnswerField("Server-Mood"));
 }
 
 TEST(HeaderDialect, OnlyAProvedNotRunGetsAStatusThatPromisesIt)
@@ -137,7 +137,7 @@
         const RefuseRequest refusal{
             .request = 1, .outcome = item.outcome, .reason = item.reason, .comeBackAfter = { 250 }
         };
-        const HttpResponse answer = this->dialect.refusal(refusal, "r-1");
+        const HttpResponse answer = this->dialect.makeRefusal(refusal, "r-1");
         LONGS_EQUAL(item.status, answer.result_int());
         CHECK(valueOf(answer, "Request-Id") == "r-1");
         CHECK(valueOf(answer, "Server-Signature").empty());
@@ -183,5 +183,5 @@
     CHECK(valueOf(request, "Deadline-Ms") == "412");
     CHECK(valueOf(request, "Expected-Instance") == "i-1");
     CHECK(valueOf(request, "Request-Id") == "r");
-    CHECK_FALSE(this->dialect.readCaller(HttpRequest(http::verb::get, "/", 11)).isReadable);
+    CHECK_FALSE(this->dialect.readCaller(HttpRequest(http::verb::get, "/", 11)).isValid);
 }
--- a/Tests/Platform/LoopbackInstance.cpp
+++ b/Tests/Platform/LoopbackInstance.cpp
@@ -56,7 +56,7 @@
           { .dialect = &this->dialect, .clock = &this->clock, .sink = this, .metrics = &this->metrics })
 {
     this->desk.start();
-    this->tell("op/config", Configuration, false);
+    this->putItem("op/config", Configuration, false);
 }
 
 void LoopbackInstance::post(const Event& event)
@@ -68,7 +68,7 @@
     this->requestTimer = this->node.nextRequestDue(this->clock.now());
 }
 
-void LoopbackInstance::tell(const std::string& key, const std::string& value, bool isRemoved)
+void LoopbackInstance::putItem(const std::string& key, const std::string& value, bool isRemoved)
 {
     peers::PeerMessage message;
     message.set_version(PeerProtocolVersion);
@@ -90,15 +90,15 @@
         record += R"("born":)" + std::to_string(born) + ",";
     record += R"("info":{"service":"s","version":"v1","zone":"dc-1","slots":3},)";
     record += R"("status":{"state":"ready","sequence":1,"cold_remaining":"0ms"}})";
-    this->tell("servers/" + id, record, false);
+    this->putItem("servers/" + id, record, false);
 }
 
 void LoopbackInstance::removeServer(const std::string& id)
 {
-    this->tell("servers/" + id, "", true);
+    this->putItem("servers/" + id, "", true);
 }
 
-void LoopbackInstance::pass(Milliseconds span)
+void LoopbackInstance::runFor(Milliseconds span)
 {
     const Milliseconds end = this->clock.now() + span;
     do {
@@ -129,7 +129,7 @@
     const Milliseconds start = this->clock.now();
     CallerAnswer answer;
     while (answer.text.find("\r\n\r\n") == std::string::npos && this->clock.now() - start < patience) {
-        this->pass(Step);
+        this->runFor(Step);
         std::array<char, 4096> bytes{};
         asio::error_code error;
         answer.text.append(bytes.data(), socket.read_some(asio::buffer(bytes), error));
--- a/Tests/Platform/LoopbackInstance.h
+++ b/Tests/Platform/LoopbackInstance.h
@@ -40,14 +40,14 @@
     /** Sends a request and waits for its answer for up to this long. */
     CallerAnswer call(Milliseconds patience);
     /** Runs the instance for this long. */
-    void pass(Milliseconds span);
+    void runFor(Milliseconds span);
     const Node& decisions() const { return this->node; }
     /** Returns the server's state as shown by ctl show-load; empty if the server is unknown. */
     std::string stateOf(const std::string& id) const;
 
 private:
     /** Passes an item of the store to Node, as a push of another instance. */
-    void tell(const std::string& key, const std::string& value, bool isRemoved);
+    void putItem(const std::string& key, const std::string& value, bool isRemoved);
 
     template <typename Other>
     void execute(const Other&)
--- a/Tests/Platform/NamedLimitsTest.cpp
+++ b/Tests/Platform/NamedLimitsTest.cpp
@@ -87,7 +87,7 @@
         const Milliseconds end = this->clock.now() + span;
         while (this->clock.now() < end) {
             answered += this->instance->call().status == 200 ? 1 : 0;
-            this->instance->pass(BetweenCalls);
+            this->instance->runFor(BetweenCalls);
         }
         return answered;
     }
@@ -106,7 +106,7 @@
 TEST(NamedLimits, OfTheOnlyServerAreKeptAndUsed)
 {
     this->begin(Cases.front());
-    this->instance->pass(Settling);
+    this->instance->runFor(Settling);
     this->callFor(OnItsWay + Window);
     CHECK_COMPARE(this->counted(), <=, MostInWindow);
     CHECK_COMPARE(this->counted(), >=, LeastInWindow);
--- a/Tests/Traffic/BearerKeyTest.cpp
+++ b/Tests/Traffic/BearerKeyTest.cpp
@@ -98,7 +98,7 @@
             form.dialect->writeAttempt(request,
                 { .backendServer = "s1",
                     .timeLeft = { 100 },
-                    .customer = { .isKeyKept = true, .customer = customer } });
+                    .customer = { .withholdsKey = true, .customer = customer } });
             const std::string bytes = encode(request);
             CHECK_TEXT(bytes.find("k1") == std::string::npos, bytes.c_str());
             CHECK_TEXT(bytes.find("other") == std::string::npos, bytes.c_str());
@@ -137,7 +137,7 @@
     };
     const platform::HeaderDialect dialect;
     for (const Told& item : cases) {
-        const HttpResponse response = dialect.refusal(
+        const HttpResponse response = dialect.makeRefusal(
             { .request = 1, .outcome = item.outcome, .reason = item.reason, .comeBackAfter = { 250 } }, "r-1");
         LONGS_EQUAL(item.status, response.result_int());
         CHECK_EQUAL(item.hasTime, !valueOf(response, "Retry-After").empty());
--- a/Tests/Traffic/LastingFieldsTest.cpp
+++ b/Tests/Traffic/LastingFieldsTest.cpp
@@ -58,24 +58,24 @@
 TEST(LastingFields, AreTheSameWhenTheRequestComesAgain)
 {
     const OwnTrafficDialect dialect;
-    const std::uint64_t usual = lastingFieldsOf(requestWith(Usual), dialect);
+    const std::uint64_t usual = hashStableFields(requestWith(Usual), dialect);
     for (const Case& item : Cases)
-        CHECK_EQUAL_TEXT(item.isSame, usual == lastingFieldsOf(requestWith(item.fields), dialect), item.name);
+        CHECK_EQUAL_TEXT(item.isSame, usual == hashStableFields(requestWith(item.fields), dialect), item.name);
 }
 
 TEST(LastingFields, EachFormLeavesOutItsIdsAndDeadlines)
 {
     const OwnTrafficDialect own;
     const platform::HeaderDialect users;
-    const std::uint64_t usual = lastingFieldsOf(requestWith(Usual), own);
+    const std::uint64_t usual = hashStableFields(requestWith(Usual), own);
     for (const char* name : { "Burlreach-Request-Id", "Burlreach-Deadline-Milliseconds" }) {
         HttpRequest request = requestWith(Usual);
         request.insert(name, "1");
-        CHECK_TEXT(usual == lastingFieldsOf(request, own), name);
+        CHECK_TEXT(usual == hashStableFields(request, own), name);
     }
     for (const char* name : { "Request-Id", "Deadline-Ms" }) {
         HttpRequest request = requestWith(Usual);
         request.insert(name, "1");
-        CHECK_TEXT(usual == lastingFieldsOf(request, users), name);
+        CHECK_TEXT(usual == hashStableFields(request, users), name);
     }
 }
--- a/Tests/Traffic/RequestDeskTest.cpp
+++ b/Tests/Traffic/RequestDeskTest.cpp
@@ -355,7 +355,7 @@
 TEST(RequestDesk, ASessionTooManyIsCountedWithItsReason)
 {
     this->configure();
-    this->desk->sessions().setMostSessions(1);
+    this->desk->sessions().setMaxSessions(1);
     const asio::ip::tcp::socket first = this->connect();
     const asio::ip::tcp::socket second = this->connect();
     this->context.restart();
--- a/Tests/Traffic/UnreadFieldsTest.cpp
+++ b/Tests/Traffic/UnreadFieldsTest.cpp
@@ -45,11 +45,11 @@
     for (const Case& item : Cases) {
         this->unread = {};
         const HttpResponse answer = answerWith(item.fields);
-        const auto told = this->unread.newOnes(answer, this->dialect);
+        const auto told = this->unread.findNew(answer, this->dialect);
         LONGS_EQUAL_TEXT(item.told.size(), told.size(), item.name);
         for (std::size_t index = 0; index < told.size(); ++index)
             STRCMP_EQUAL_TEXT(item.told[index], told[index].name.c_str(), item.name);
-        LONGS_EQUAL_TEXT(0, this->unread.newOnes(answer, this->dialect).size(), item.name);
+        LONGS_EQUAL_TEXT(0, this->unread.findNew(answer, this->dialect).size(), item.name);
     }
 }
 
@@ -58,7 +58,7 @@
     std::size_t told = 0;
     for (int number = 0; number < 1000; ++number) {
         const std::string name = "Mood-" + std::to_string(number);
-        told += this->unread.newOnes(answerWith({ name.c_str() }), this->dialect).size();
+        told += this->unread.findNew(answerWith({ name.c_str() }), this->dialect).size();
     }
     LONGS_EQUAL(32, told);
 }
