--- a/Source/Http/AnswerOrder.cpp
+++ b/Source/Http/AnswerQueue.cpp
@@ -1,4 +1,4 @@
-#include "Http/AnswerOrder.h"
+#include "Http/AnswerQueue.h"
 
 #include <algorithm>
 #include <utility>
--- a/Source/Http/HttpSession.h
+++ b/Source/Http/HttpSession.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Base/Clock.h"
-#include "Http/AnswerOrder.h"
+#include "Http/AnswerQueue.h"
 #include "Http/HttpMessage.h"
 
 #include <array>
--- a/Source/Traffic/LoadText.cpp
+++ b/Source/Traffic/FieldValues.cpp
@@ -1,4 +1,4 @@
-#include "Traffic/LoadText.h"
+#include "Traffic/FieldValues.h"
 
 #include <algorithm>
 #include <array>
--- a/Source/Traffic/NamedLimit.cpp
+++ b/Source/Traffic/NamedLimit.cpp
@@ -1,6 +1,6 @@
 #include "Traffic/NamedLimit.h"
 
-#include "Traffic/PlainNumber.h"
+#include "Traffic/UnsignedDecimal.h"
 
 #include <algorithm>
 
--- a/Source/Traffic/OwnTrafficDialect.cpp
+++ b/Source/Traffic/OwnTrafficDialect.cpp
@@ -1,8 +1,8 @@
 #include "Traffic/OwnTrafficDialect.h"
 
-#include "Traffic/LoadText.h"
+#include "Traffic/FieldValues.h"
 #include "Traffic/NamedLimit.h"
-#include "Traffic/OwnHeaders.h"
+#include "Traffic/NativeHeaders.h"
 #include "Traffic/RefusalStatus.h"
 #include "Traffic/RetryAfter.h"
 
--- a/Source/Traffic/RequestDesk.cpp
+++ b/Source/Traffic/RequestDesk.cpp
@@ -2,7 +2,7 @@
 
 #include "Admission/ComeBackTime.h"
 #include "Base/ChronoDuration.h"
-#include "Traffic/LastingFields.h"
+#include "Traffic/StableFields.h"
 
 #include <algorithm>
 #include <utility>
--- a/Source/Traffic/RetryAfter.cpp
+++ b/Source/Traffic/RetryAfter.cpp
@@ -1,6 +1,6 @@
 #include "Traffic/RetryAfter.h"
 
-#include "Traffic/PlainNumber.h"
+#include "Traffic/UnsignedDecimal.h"
 
 #include <algorithm>
 #include <array>
--- a/Source/Traffic/LastingFields.cpp
+++ b/Source/Traffic/StableFields.cpp
@@ -1,4 +1,4 @@
-#include "Traffic/LastingFields.h"
+#include "Traffic/StableFields.h"
 
 #include "Base/Hash.h"
 
--- a/Source/Traffic/PlainNumber.cpp
+++ b/Source/Traffic/UnsignedDecimal.cpp
@@ -1,4 +1,4 @@
-#include "Traffic/PlainNumber.h"
+#include "Traffic/UnsignedDecimal.h"
 
 #include <algorithm>
 #include <charconv>
--- a/Tests/Http/AnswerOrderTest.cpp
+++ b/Tests/Http/AnswerQueueTest.cpp
@@ -1,4 +1,4 @@
-#include "Http/AnswerOrder.h"
+#include "Http/AnswerQueue.h"
 
 #include <string>
 #include <vector>
@@ -77,9 +77,9 @@
 
 }
 
-TEST_GROUP(AnswerOrder){};
+TEST_GROUP(AnswerQueue){};
 
-TEST(AnswerOrder, AnswersGoOutInTheOrderOfTheRequests)
+TEST(AnswerQueue, TakesAnswersInTheOrderOfTheRequests)
 {
     for (const Case& item : Cases) {
         AnswerQueue order;
@@ -89,7 +89,7 @@
     }
 }
 
-TEST(AnswerOrder, AnAnswerToHeadHasNoBody)
+TEST(AnswerQueue, AnAnswerToHeadHasNoBody)
 {
     AnswerQueue order;
     order.addRequest({ .isHeadRequest = true });
--- a/Tests/Http/HttpExchangeTest.cpp
+++ b/Tests/Http/HttpExchangeTest.cpp
@@ -130,7 +130,7 @@
 
 TEST_GROUP(HttpExchange){};
 
-TEST(HttpExchange, KeepsOnlyCleanConnectionsAndPassesOnlyWholeAnswers)
+TEST(HttpExchange, ReturnsOnlyCompleteAnswersAndReusableConnections)
 {
     for (const Case& item : Cases) {
         const ScriptedServer server(item.script);
@@ -156,7 +156,7 @@
     }
 }
 
-TEST(HttpExchange, NobodyThereIsAProofThatNothingWasSent)
+TEST(HttpExchange, ARefusedConnectionMeansNotSent)
 {
     asio::io_context context;
     asio::ip::tcp::acceptor closed(context, asio::ip::tcp::endpoint(asio::ip::address_v4::loopback(), 0));
@@ -171,7 +171,7 @@
     CHECK(result == HttpExchangeResult::NotSent);
 }
 
-TEST(HttpExchange, AConnectTimeoutThatIsDueTogetherWithTheConnectionEndsNothing)
+TEST(HttpExchange, IgnoresAConnectTimeoutThatIsDueTogetherWithTheConnection)
 {
     // In a busy process both events can be ready in the same poll.
     const ScriptedServer server({ Ok });
@@ -193,7 +193,7 @@
 }
 
 // A large answer over a busy link may take longer than the timeout while bytes keep arriving.
-TEST(HttpExchange, ATimeoutOfSilenceBeginsAnewWithEachByte)
+TEST(HttpExchange, AnIdleTimeoutRestartsWithEachByte)
 {
     for (const bool isOfSilence : { true, false }) {
         // 55 bytes, 10 ms each.
@@ -212,7 +212,8 @@
     }
 }
 
-TEST(HttpExchange, AReusedConnectionThatClosesUnderTheRequestIsNoProofOfAnything)
+// The server may have run the request before it closed the connection.
+TEST(HttpExchange, AReusedConnectionThatClosesMeansBroken)
 {
     const ScriptedServer server({ "", true, false });
     asio::io_context context;
@@ -228,7 +229,7 @@
     CHECK(result == HttpExchangeResult::Broken);
 }
 
-TEST(HttpExchange, ACancelledExchangeSaysNothing)
+TEST(HttpExchange, ACancelledExchangeDoesNotComplete)
 {
     const ScriptedServer server({ "" });
     asio::io_context context;
@@ -243,7 +244,7 @@
     CHECK_FALSE(wasCalled);
 }
 
-TEST(HttpExchange, AConnectionOnWhichSomethingCameIsNotGivenOut)
+TEST(HttpExchange, ThePoolSkipsConnectionsThatReceivedBytes)
 {
     const SteadyClock clock;
     asio::io_context context;
@@ -265,7 +266,8 @@
     }
 }
 
-TEST(HttpExchange, ARestedConnectionIsNotGivenToARequestThatMayRunOnce)
+// A request that must not run twice gets no connection that the server may be closing.
+TEST(HttpExchange, ThePoolRespectsTheLongestIdleTime)
 {
     const SteadyClock clock;
     asio::io_context context;
--- a/Tests/Http/HttpListenerTest.cpp
+++ b/Tests/Http/HttpListenerTest.cpp
@@ -204,7 +204,7 @@
 // A connection that is established between the last accept and the close of the
 // listening socket was reset: 1 of 12,000 callers of a soak test on a busy
 // machine.
-TEST(HttpListener, AStopResetsNoConnectionThatWasMade)
+TEST(HttpListener, AStopResetsNoEstablishedConnection)
 {
     constexpr int rounds = 20;
     constexpr int mostRounds = 400;
@@ -241,7 +241,7 @@
 // In a soak test on a busy machine, a caller connected 10 ms after the lead time
 // of a planned stop, and its connection was reset unread. The listener must stay
 // open as long as callers connect.
-TEST(HttpListener, APlannedStopResetsNoCallerThatComesLate)
+TEST(HttpListener, AStopResetsNoLateCaller)
 {
     constexpr int rounds = 20;
     constexpr int mostRounds = 400;
--- a/Tests/Peers/PeerLinkTest.cpp
+++ b/Tests/Peers/PeerLinkTest.cpp
@@ -63,7 +63,7 @@
 // After a power failure, some instances start a moment before their seeds. A SYN
 // to a computer that is still off is lost without an error, and TCP repeats it
 // only after 1 s.
-TEST(PeerLink, AMachineThatWasDarkIsReachedWithinHalfASecond)
+TEST(PeerLink, ReachesAnInstanceWithinHalfASecondOfItsStart)
 {
     asio::io_context context;
     const SteadyClock clock;
--- a/Tests/Platform/AskedPausesTest.cpp
+++ b/Tests/Platform/AskedPausesTest.cpp
@@ -111,7 +111,7 @@
     }
 };
 
-TEST(AskedPauses, AreKeptAsAsked)
+TEST(AskedPauses, AreRespected)
 {
     for (const Case& item : Cases) {
         this->turnAway(item.fields);
@@ -127,7 +127,7 @@
     }
 }
 
-TEST(AskedPauses, OfAllServersRefuseRequestsAtOnceUntilThen)
+TEST(AskedPauses, OfAllServersRefuseRequestsAtOnce)
 {
     this->turnAway(retryAfter("2"));
     const std::size_t requests = this->asking->requests();
@@ -146,7 +146,7 @@
     LONGS_EQUAL(200, this->instance->call().status);
 }
 
-TEST(AskedPauses, InAHealthAnswerAreKeptToo)
+TEST(AskedPauses, InProbeAnswersAreRespected)
 {
     this->begin([](const ScriptedRequest& request) {
         return request.isProbe ? turnedAway(request, "Instance-Id: i-a\r\n" + retryAfter("5")) : freeAnswer(request);
@@ -158,7 +158,7 @@
     LONGS_EQUAL(1, this->asking->probes());
 }
 
-TEST(AskedPauses, OutliveTheRecordAndEndWithTheLife)
+TEST(AskedPauses, OutliveTheRecordAndEndWithTheLifeOfTheServer)
 {
     this->turnAway(retryAfter("30"));
     this->addOther();
--- a/Tests/Platform/HeaderDialectTest.cpp
+++ b/Tests/Platform/HeaderDialectTest.cpp
@@ -103,7 +103,7 @@
     platform::HeaderDialect dialect;
 };
 
-TEST(HeaderDialect, ReadsWhatAnAnswerProves)
+TEST(HeaderDialect, ReadsTheResultOfAnAnswer)
 {
     for (const Case& item : Cases) {
         const AttemptEnd end = this->dialect.readAnswer(response(item.status, item.fields), "i-1");
@@ -112,7 +112,7 @@
     }
 }
 
-TEST(HeaderDialect, ReadsWhatAServerSaysOfItself)
+TEST(HeaderDialect, ReadsNotices)
 {
     for (const NoticeCase& item : NoticeCases) {
         const ServerNotice notice = this->dialect.readNotice(response(item.status, item.fields), "i-1");
@@ -131,7 +131,7 @@
     CHECK_FALSE(this->dialect.isKnownAnswerField("Server-Mood"));
 }
 
-TEST(HeaderDialect, OnlyAProvedNotRunGetsAStatusThatPromisesIt)
+TEST(HeaderDialect, PromisesNotRunOnlyIfProved)
 {
     for (const RefusalCase& item : RefusalCases) {
         const RefuseRequest refusal{
@@ -145,13 +145,13 @@
     }
 }
 
-TEST(HeaderDialect, TellsAnswersOfOtherRequestsApart)
+TEST(HeaderDialect, DetectsAnswersToOtherRequests)
 {
     CHECK(this->dialect.isAnswerTo(response(200, { { "Request-Id", "r" } }), "r"));
     CHECK_FALSE(this->dialect.isAnswerTo(response(200, { { "Request-Id", "q" } }), "r"));
 }
 
-TEST(HeaderDialect, ReadsLoadFigures)
+TEST(HeaderDialect, ReadsReportedLoad)
 {
     const AttemptEnd end = this->dialect.readAnswer(response(200, { { "Instance-Load", "2,1,3,480" } }), "i-1");
     LONGS_EQUAL(2, end.load->running);
@@ -163,7 +163,7 @@
     CHECK_FALSE(this->dialect.readAnswer(response(200, { { "Instance-Load", "many" } }), "i-1").load.has_value());
 }
 
-TEST(HeaderDialect, AProbeOfAnotherLifeSaysNothingOfThisOne)
+TEST(HeaderDialect, IgnoresTheLoadThatAnotherServerReports)
 {
     const ProbeEnd own
         = this->dialect.readProbe(response(200, { { "Instance-Id", "i-1" }, { "Instance-Load", "0,0,3,100" } }), "i-1");
@@ -173,7 +173,7 @@
     CHECK(other.isOtherServer && !other.load);
 }
 
-TEST(HeaderDialect, HandsOnWhatIsLeftOfTheDeadline)
+TEST(HeaderDialect, ForwardsTheTimeLeft)
 {
     HttpRequest request(http::verb::get, "/", 11);
     setField(request, "Request-Id", "r");
--- a/Tests/Platform/KvFactTranslatorTest.cpp
+++ b/Tests/Platform/KvFactTranslatorTest.cpp
@@ -130,7 +130,7 @@
     DOUBLES_EQUAL(15000, configuration.callerLimits.idleTimeout.count, 0);
 }
 
-TEST(KvFactTranslator, ReadsABackendServerAndItsEnd)
+TEST(KvFactTranslator, ReadsABackendServerAndItsRemoval)
 {
     const Facts facts = this->translator.translate(item("servers/i-7", Server));
     LONGS_EQUAL(1, facts.backendServers.size());
@@ -147,7 +147,7 @@
     STRCMP_EQUAL("i-7", gone.goneBackendServers.front().c_str());
 }
 
-TEST(KvFactTranslator, WhatCannotBeReadChangesNothingAndIsTold)
+TEST(KvFactTranslator, InvalidItemsResultInFindingsOnly)
 {
     for (const Case& each : Cases) {
         const Facts facts = this->translator.translate(each.item);
@@ -156,7 +156,7 @@
     }
 }
 
-TEST(KvFactTranslator, Base64GoesThereAndBack)
+TEST(KvFactTranslator, EncodesAndDecodesBase64)
 {
     for (const std::string& text : { std::string(), std::string("f"), std::string("fo"), std::string("foo"),
              std::string("foob"), std::string("\0\xff\x10", 3) })
@@ -167,7 +167,7 @@
         CHECK_FALSE(platform::decodeBase64(bad).has_value());
 }
 
-TEST(KvFactTranslator, ARecordOfAnotherWriterNamesNoServerToUse)
+TEST(KvFactTranslator, AnInvalidRecordIsNotUsed)
 {
     for (const ForeignRecord& each : ForeignRecords) {
         const std::string record = replaced(Server, each.usual, each.foreign);
@@ -188,7 +188,7 @@
 }
 
 // Random changes of bytes: the record is either used with all its fields valid or not used at all.
-TEST(KvFactTranslator, SpoiltBytesNeverNameAServerInPart)
+TEST(KvFactTranslator, ACorruptedRecordIsNeverUsedInPart)
 {
     constexpr int rounds = 20000;
     std::mt19937 random(1);
@@ -206,7 +206,7 @@
     }
 }
 
-TEST(KvFactTranslator, ReadsThatADataCentreIsEmptiedAndTakenBack)
+TEST(KvFactTranslator, ReadsThatADataCentreIsEmptied)
 {
     const Facts emptied = this->translator.translate(item("op/evacuate/z-1", "{}"));
     LONGS_EQUAL(1, emptied.dataCentres.size());
@@ -218,7 +218,7 @@
     CHECK_TEXT(unreadable.dataCentres.front().emptied, "the key alone counts");
 }
 
-TEST(KvFactTranslator, ReadsWhatAColdServerBears)
+TEST(KvFactTranslator, ReadsLimitsOfColdServers)
 {
     const Facts facts = this->translator.translate(item("op/config",
         R"({"version":"01","routes":{"r":{"host":"a","path_prefix":"/","service":"s"}},
@@ -267,7 +267,7 @@
         CHECK_EQUAL(route.name == "r", route.isPublic);
 }
 
-TEST(KvFactTranslator, RefusesCustomersThatCannotBeToldApartWithoutNamingAKey)
+TEST(KvFactTranslator, FindingsAboutCustomersContainNoKeys)
 {
     const std::vector<std::string> documents{
         R"({"acme":{"api_keys":["secret-1"]},"other":{"api_keys":["secret-2","secret-1"]}})",
@@ -283,7 +283,7 @@
     }
 }
 
-TEST(KvFactTranslator, TakesAllKeysOutOfADocumentAndNothingElse)
+TEST(KvFactTranslator, ReplacesAllKeysAndNothingElse)
 {
     struct Case {
         std::string before;
--- a/Tests/Platform/KvStoreWireTest.cpp
+++ b/Tests/Platform/KvStoreWireTest.cpp
@@ -85,7 +85,7 @@
     CHECK(answer.items[1].removed);
 }
 
-TEST(KvStoreWire, WritesCalls)
+TEST(KvStoreWire, EncodesCalls)
 {
     StoreRequest watch;
     watch.operation = Watch;
--- a/Tests/Platform/ServerWordsTest.cpp
+++ b/Tests/Platform/LeavingNoticesTest.cpp
@@ -89,7 +89,7 @@
 
 }
 
-TEST_GROUP(ServerWords)
+TEST_GROUP(LeavingNotices)
 {
     std::unique_ptr<asio::io_context> context; // must outlive the objects below
     std::unique_ptr<LoopbackInstance> instance;
@@ -121,7 +121,7 @@
     }
 };
 
-TEST(ServerWords, TheWordOfLeavingHoldsAtOnceInWhateverAnswerItCame)
+TEST(LeavingNotices, ApplyAtOnceFromEachKindOfAnswer)
 {
     for (const LeavingCase& item : LeavingCases) {
         this->begin(item.script);
@@ -133,7 +133,7 @@
     }
 }
 
-TEST(ServerWords, WhenAllAreLeavingARequestIsRefusedAtOnce)
+TEST(LeavingNotices, OfAllServersRefuseRequestsAtOnce)
 {
     this->begin(toRequests(sayLeaving));
     LONGS_EQUAL(200, this->instance->call().status);
@@ -144,7 +144,7 @@
     LONGS_EQUAL(1, this->wordy->requests());
 }
 
-TEST(ServerWords, TheWordOfLeavingOutlivesTheRecordAndAHealthAnswer)
+TEST(LeavingNotices, OutliveTheRecordAndProbeAnswers)
 {
     this->begin(toRequests(sayLeaving));
     this->instance->call();
@@ -156,7 +156,7 @@
     LONGS_EQUAL(1, this->wordy->requests());
 }
 
-TEST(ServerWords, ANewLifeDoesNotInheritTheWordOfLeaving)
+TEST(LeavingNotices, DoNotApplyToANewLife)
 {
     for (const char* next : { "i-a", "i-c" }) {
         this->begin(toRequests(sayLeaving));
@@ -172,7 +172,7 @@
 }
 
 // An announcement of a server that has taken over the address does not apply to the former server.
-TEST(ServerWords, TheWordOfAnotherServerAtTheAddressSaysNothingOfThisOne)
+TEST(LeavingNotices, OfAnotherServerAtTheAddressAreIgnored)
 {
     platform::HeaderDialect dialect;
     for (const unsigned status : { 200U, 421U, 503U }) {
--- a/Tests/Platform/NamedLimitsTest.cpp
+++ b/Tests/Platform/NamedLimitsTest.cpp
@@ -103,7 +103,7 @@
     }
 };
 
-TEST(NamedLimits, OfTheOnlyServerAreKeptAndUsed)
+TEST(NamedLimits, OfTheOnlyServerAreRespectedAndUsed)
 {
     this->begin(Cases.front());
     this->instance->runFor(Settling);
@@ -112,7 +112,7 @@
     CHECK_COMPARE(this->counted(), >=, LeastInWindow);
 }
 
-TEST(NamedLimits, AreKeptInWhicheverAnswerTheyAreNamed)
+TEST(NamedLimits, AreReadFromEachKindOfAnswer)
 {
     for (const Case& item : Cases) {
         this->begin(item);
@@ -125,7 +125,7 @@
     }
 }
 
-TEST(NamedLimits, LeaveTheRestToOtherServers)
+TEST(NamedLimits, DirectFurtherRequestsToOtherServers)
 {
     this->begin(Cases.front());
     this->instance->putServer("i-b", this->other->address());
--- a/Tests/Traffic/BearerKeyTest.cpp
+++ b/Tests/Traffic/BearerKeyTest.cpp
@@ -84,7 +84,7 @@
     CHECK(readBearerKey(requestWith({ { "Authorization", "Bearer k1" } })).key == digestOfKey("k1"));
 }
 
-TEST(BearerKey, NeitherTheKeyNorAClaimedNameGoesOnWhereThereAreCustomers)
+TEST(BearerKey, RemovesKeyAndClaimedNameIfThereAreCustomers)
 {
     for (const Form& form : Forms) {
         const std::string& field = form.customerField;
@@ -109,7 +109,7 @@
     }
 }
 
-TEST(BearerKey, WithoutCustomersAllGoesOnAsItCame)
+TEST(BearerKey, ForwardsFieldsUnchangedWithoutCustomers)
 {
     for (const Form& form : Forms) {
         HttpRequest request = requestWith({ { "Authorization", "Basic abc" }, { form.customerField, "x" } });
@@ -119,7 +119,7 @@
     }
 }
 
-TEST(BearerKey, CallersAreToldWhyAndWhenToComeBack)
+TEST(BearerKey, RefusalsHaveAStatusAndRetryAfter)
 {
     struct Told {
         RefusalReason reason;
--- a/Tests/Traffic/NamedLimitTest.cpp
+++ b/Tests/Traffic/NamedLimitTest.cpp
@@ -39,7 +39,7 @@
 
 TEST_GROUP(NamedLimit){};
 
-TEST(NamedLimit, IsReadFromPlainNumbers)
+TEST(NamedLimit, IsReadFromUnsignedDecimals)
 {
     for (const Case& item : Cases) {
         HttpFields fields;
--- a/Tests/Traffic/RequestDeskTest.cpp
+++ b/Tests/Traffic/RequestDeskTest.cpp
@@ -187,7 +187,7 @@
     }
 };
 
-TEST(RequestDesk, ReadsWhatCallersSend)
+TEST(RequestDesk, ReadsOrRefusesWhatCallersSend)
 {
     this->configure();
     this->refuseAll();
@@ -204,7 +204,7 @@
     }
 }
 
-TEST(RequestDesk, CallersWaitForTheFirstConfigurationButNotForLong)
+TEST(RequestDesk, RefusesCallersIfNoConfigurationArrives)
 {
     this->refuseAll();
     STRCMP_EQUAL("", this->answersTo("GET /a HTTP/1.1\r\nHost: x\r\n\r\n").c_str());
@@ -215,7 +215,7 @@
 }
 
 // Pipelined requests on one connection: which of them are started while none has been answered.
-TEST(RequestDesk, BeginsEarlyOnlyWhatMayBeRepeated)
+TEST(RequestDesk, StartsOnlyRepeatableRequestsEarly)
 {
     struct Sent {
         const char* name;
@@ -238,7 +238,7 @@
     }
 }
 
-TEST(RequestDesk, WhatWasHeldBackBeginsAfterTheAnswersAheadOfIt)
+TEST(RequestDesk, StartsAWaitingRequestAfterTheEarlierAnswers)
 {
     this->configure();
     asio::ip::tcp::socket socket = this->connect();
@@ -253,7 +253,7 @@
     STRCMP_EQUAL("abX", this->begun().c_str());
 }
 
-TEST(RequestDesk, ACallerThatLeavesCancelsAllItsRequests)
+TEST(RequestDesk, ALostConnectionCancelsAllItsRequests)
 {
     this->configure();
     {
@@ -269,7 +269,7 @@
 
 // The caller takes requests that are not answered before the close as unread
 // and repeats them, so none of them may have been started.
-TEST(RequestDesk, APlannedStopAnswersWhatHasBegunAndReadsNothingBehindIt)
+TEST(RequestDesk, AStopAnswersStartedRequestsAndStartsNoMore)
 {
     this->configure();
     asio::ip::tcp::socket socket = this->connect();
@@ -290,7 +290,7 @@
     LONGS_EQUAL(0, this->desk->sessions().unfinished());
 }
 
-TEST(RequestDesk, AnUnreadableRequestIsAnsweredBehindThoseAheadOfIt)
+TEST(RequestDesk, AnswersAnUnreadableRequestAfterEarlierOnes)
 {
     this->configure();
     asio::ip::tcp::socket socket = this->connect();
@@ -306,7 +306,7 @@
 }
 
 // The caller would take an interim answer for the answer to an earlier request that is still unanswered.
-TEST(RequestDesk, NoInterimAnswerBeforeTheAnswersAhead)
+TEST(RequestDesk, SendsNoInterimAnswerBeforeEarlierAnswers)
 {
     this->configure();
     asio::ip::tcp::socket socket = this->connect();
@@ -322,7 +322,7 @@
 }
 
 // A caller's time limit counts from the moment at which its request was read.
-TEST(RequestDesk, TheTimeThatARequestWasHeldBackIsTakenOffItsTimeLeft)
+TEST(RequestDesk, WaitingReducesTheTimeLeftOfARequest)
 {
     this->configure();
     asio::ip::tcp::socket socket = this->connect();
@@ -335,7 +335,7 @@
     CHECK(*this->sink.arrived.back().timeLeft <= Milliseconds{ 960 });
 }
 
-TEST(RequestDesk, NoticesACallerThatLeaves)
+TEST(RequestDesk, DetectsALostConnection)
 {
     this->configure();
     {
@@ -352,7 +352,7 @@
     LONGS_EQUAL(0, this->desk->openRequests());
 }
 
-TEST(RequestDesk, ASessionTooManyIsCountedWithItsReason)
+TEST(RequestDesk, CountsASessionBeyondTheLimit)
 {
     this->configure();
     this->desk->sessions().setMaxSessions(1);
@@ -364,7 +364,7 @@
     CHECK(this->sink.earlyReason == RefusalReason::TooManySessions);
 }
 
-TEST(RequestDesk, AnAnswerThatIsNotYetWrittenIsUnfinished)
+TEST(RequestDesk, ASessionIsUnfinishedUntilItsAnswerIsWritten)
 {
     this->configure();
     asio::ip::tcp::socket socket = this->connect();
@@ -385,7 +385,7 @@
 
 // A server may announce that it is leaving after it was chosen for a request,
 // while the connection for that request is being made.
-TEST(RequestDesk, WhatIsNotYetWrittenIsNotSentToALeavingServer)
+TEST(RequestDesk, AbortsUnsentAttemptsAtALeavingServer)
 {
     this->configure();
     const asio::ip::tcp::acceptor server(this->context, asio::ip::tcp::endpoint(asio::ip::address_v4::loopback(), 0));
@@ -409,7 +409,7 @@
 
 // A connection that was made but not yet accepted when a planned stop began
 // was reset together with its request: 2 of 16,289 requests on a busy machine.
-TEST(RequestDesk, AConnectionMadeJustBeforeTheStopStillGetsItsAnswer)
+TEST(RequestDesk, AnswersOnAConnectionMadeJustBeforeAStop)
 {
     this->configure();
     this->refuseAll();
@@ -470,7 +470,7 @@
     CHECK(std::string(buffer.data(), size).find("HTTP/1.1 503") == 0);
 }
 
-TEST(RequestDesk, AConnectionThatRestsIsClosedByTheStop)
+TEST(RequestDesk, AStopClosesIdleConnections)
 {
     this->configure();
     this->desk->sessions().closeAfterAnswers();
@@ -482,7 +482,7 @@
     LONGS_EQUAL(0, this->desk->sessions().unfinished());
 }
 
-TEST(RequestDesk, ClosesAfterTheAnswerOnceItStops)
+TEST(RequestDesk, AStopClosesAfterTheAnswer)
 {
     this->configure();
     this->refuseAll();
--- a/Tests/Traffic/LastingFieldsTest.cpp
+++ b/Tests/Traffic/StableFieldsTest.cpp
@@ -1,4 +1,4 @@
-#include "Traffic/LastingFields.h"
+#include "Traffic/StableFields.h"
 #include "HeaderDialect.h"
 #include "Traffic/OwnTrafficDialect.h"
 
@@ -53,9 +53,9 @@
 
 }
 
-TEST_GROUP(LastingFields){};
+TEST_GROUP(StableFields){};
 
-TEST(LastingFields, AreTheSameWhenTheRequestComesAgain)
+TEST(StableFields, AreTheSameForARepeatedRequest)
 {
     const OwnTrafficDialect dialect;
     const std::uint64_t usual = hashStableFields(requestWith(Usual), dialect);
@@ -63,7 +63,7 @@
         CHECK_EQUAL_TEXT(item.isSame, usual == hashStableFields(requestWith(item.fields), dialect), item.name);
 }
 
-TEST(LastingFields, EachFormLeavesOutItsIdsAndDeadlines)
+TEST(StableFields, ExcludeIdsAndDeadlinesOfEachDialect)
 {
     const OwnTrafficDialect own;
     const platform::HeaderDialect users;
--- a/Tests/Traffic/UnreadFieldsTest.cpp
+++ b/Tests/Traffic/UnreadFieldsTest.cpp
@@ -40,7 +40,7 @@
     UnreadFields unread;
 };
 
-TEST(UnreadFields, EachIsToldOnce)
+TEST(UnreadFields, AreReportedOnce)
 {
     for (const Case& item : Cases) {
         this->unread = {};
@@ -53,7 +53,7 @@
     }
 }
 
-TEST(UnreadFields, NamesThatAServerMakesUpAreBounded)
+TEST(UnreadFields, AreReportedUpToALimit)
 {
     std::size_t told = 0;
     for (int number = 0; number < 1000; ++number) {
