--- a/Tests/Http/HttpListenerTest.cpp
+++ b/Tests/Http/HttpListenerTest.cpp
@@ -33,18 +33,18 @@
 };
 
 /** Callers that make one connection after another, send a request on each and wait for its answer. */
-class Hammer {
+class SequentialCallers {
 public:
-    Hammer(std::uint16_t givenPort, std::size_t threads)
+    SequentialCallers(std::uint16_t givenPort, std::size_t threads)
         : port(givenPort)
     {
         for (std::size_t index = 0; index < threads; ++index)
             this->threads.emplace_back([this] { this->run(); });
     }
 
-    ~Hammer() { this->stop(); }
-    Hammer(const Hammer&) = delete;
-    Hammer& operator=(const Hammer&) = delete;
+    ~SequentialCallers() { this->stop(); }
+    SequentialCallers(const SequentialCallers&) = delete;
+    SequentialCallers& operator=(const SequentialCallers&) = delete;
 
     /** Starts no further calls; those in progress continue. */
     void finish() { this->isOver = true; }
@@ -108,26 +108,26 @@
  * Callers that connect and send without waiting for answers, so that new
  * connections arrive all the time while the listener stops.
  */
-class Rush {
+class ContinuousCallers {
 public:
-    Rush(std::uint16_t givenPort, std::size_t threads)
+    ContinuousCallers(std::uint16_t givenPort, std::size_t threads)
         : port(givenPort)
     {
         for (std::size_t index = 0; index < threads; ++index)
             this->threads.emplace_back([this] { this->run(); });
     }
 
-    ~Rush() { this->stop(); }
-    Rush(const Rush&) = delete;
-    Rush& operator=(const Rush&) = delete;
+    ~ContinuousCallers() { this->stop(); }
+    ContinuousCallers(const ContinuousCallers&) = delete;
+    ContinuousCallers& operator=(const ContinuousCallers&) = delete;
 
     void begin() { this->isBegun = true; }
     /** Starts no further connections; callers that have sent a request wait for its answer. */
-    void cease() { this->isOver = true; }
+    void finish() { this->isOver = true; }
 
     void stop()
     {
-        this->cease();
+        this->finish();
         for (std::thread& thread : this->threads) {
             if (thread.joinable())
                 thread.join();
@@ -139,15 +139,15 @@
     std::size_t lost() const { return this->losses; }
 
 private:
-    static constexpr std::size_t MostOfOne = 400;
+    static constexpr std::size_t MaxConnectionsPerThread = 400;
     static constexpr timeval Patience{ .tv_sec = 5, .tv_usec = 0 };
 
     /** Allocates nothing, because the test runner's leak check supports one thread only. */
     void run()
     {
-        std::array<int, MostOfOne> handles{};
+        std::array<int, MaxConnectionsPerThread> handles{};
         std::size_t count = 0;
-        while (!this->isOver && count < MostOfOne) {
+        while (!this->isOver && count < MaxConnectionsPerThread) {
             if (!this->isBegun)
                 continue;
             const int handle = this->connectAndSend();
@@ -221,7 +221,7 @@
         const std::uint16_t port = freePort();
         CHECK(!listener.listen({ .host = "127.0.0.1", .port = port }));
         listener.beginAccepting();
-        Hammer hammer(port, threads);
+        SequentialCallers hammer(port, threads);
         context.run_for(std::chrono::milliseconds(20));
         listener.closeAfterAnswers();
         listener.stopAccepting();
@@ -261,7 +261,7 @@
         const std::uint16_t port = freePort();
         CHECK(!listener.listen({ .host = "127.0.0.1", .port = port }));
         listener.beginAccepting();
-        Rush rush(port, threads);
+        ContinuousCallers rush(port, threads);
         StopSequence stop({ .lead = lead, .bound = { 20000 } });
         const Milliseconds began = clock.now();
         stop.begin(began);
@@ -272,7 +272,7 @@
             if (clock.now() - began >= callersComeFrom)
                 rush.begin();
             if (clock.now() - began >= callersComeUntil)
-                rush.cease();
+                rush.finish();
             context.restart();
             context.run_for(lookInterval);
         }
--- a/Tests/Peers/PeerLinkTest.cpp
+++ b/Tests/Peers/PeerLinkTest.cpp
@@ -42,12 +42,12 @@
             this->accepted.push_back(std::make_shared<tcp::socket>(std::move(socket)));
             const auto taken = this->accepted.back();
             taken->async_read_some(asio::buffer(this->bytes),
-                [this, taken](const asio::error_code& failure, std::size_t) { this->heard += failure ? 0 : 1; });
+                [this, taken](const asio::error_code& failure, std::size_t) { this->sendersSeen += failure ? 0 : 1; });
             this->open();
         });
     }
 
-    int heard = 0;
+    int sendersSeen = 0;
 
 private:
     tcp::acceptor acceptor;
@@ -75,11 +75,11 @@
     link->send("hello");
     context.restart();
     context.run_for(std::chrono::milliseconds(100));
-    LONGS_EQUAL(0, listener.heard);
+    LONGS_EQUAL(0, listener.sendersSeen);
     listener.open();
     context.restart();
     context.run_for(std::chrono::milliseconds(400));
-    LONGS_EQUAL(1, listener.heard);
+    LONGS_EQUAL(1, listener.sendersSeen);
     link->close();
     context.restart();
     context.run_for(std::chrono::milliseconds(20));
--- a/Tests/Platform/AskedPausesTest.cpp
+++ b/Tests/Platform/AskedPausesTest.cpp
@@ -20,7 +20,7 @@
 namespace {
 
 /** Upper bound for a refusal without waiting; a request that waits does so for 330 ms, 0.22 of the target latency. */
-constexpr Milliseconds AtOnce{ 150 };
+constexpr Milliseconds MaxTimeToRefuse{ 150 };
 
 /** Reports less load than busyAnswer, so that its server is preferred. */
 std::string freeAnswer(const ScriptedRequest& request)
@@ -34,7 +34,7 @@
 }
 
 /** Refuses a request; the answer has these further fields. */
-std::string turnedAway(const ScriptedRequest& request, const std::string& fields)
+std::string refusalWith(const ScriptedRequest& request, const std::string& fields)
 {
     return scriptedAnswer(request, 503, "Not-Executed: 1\r\n" + fields);
 }
@@ -79,28 +79,28 @@
 {
     std::unique_ptr<asio::io_context> context; // must outlive the objects below
     std::unique_ptr<LoopbackInstance> instance;
-    std::unique_ptr<ScriptedServer> asking; // i-a
+    std::unique_ptr<ScriptedServer> pausing; // i-a
     std::unique_ptr<ScriptedServer> other; // i-b
 
     /** Starts an instance with i-a as its only server, which answers by this script. */
     void begin(const ScriptedServer::Script& script)
     {
         this->instance.reset();
-        this->asking.reset();
+        this->pausing.reset();
         this->other.reset();
         this->context = std::make_unique<asio::io_context>();
         this->instance = std::make_unique<LoopbackInstance>(*this->context);
-        this->asking = std::make_unique<ScriptedServer>(*this->context, script);
+        this->pausing = std::make_unique<ScriptedServer>(*this->context, script);
         this->other = std::make_unique<ScriptedServer>(*this->context, busyAnswer);
-        this->instance->putServer("i-a", this->asking->address());
+        this->instance->putServer("i-a", this->pausing->address());
     }
 
     /** Starts an instance whose server i-a has refused one request with these fields and would accept the next. */
-    void turnAway(const std::string& fields)
+    void beginAfterRefusal(const std::string& fields)
     {
         this->begin([fields, turnsAway = true](const ScriptedRequest& request) mutable {
             const bool isNext = !request.isProbe && std::exchange(turnsAway, false);
-            return isNext ? turnedAway(request, fields) : freeAnswer(request);
+            return isNext ? refusalWith(request, fields) : freeAnswer(request);
         });
         this->instance->call();
     }
@@ -114,63 +114,63 @@
 TEST(AskedPauses, AreRespected)
 {
     for (const Case& item : Cases) {
-        this->turnAway(item.fields);
+        this->beginAfterRefusal(item.fields);
         this->addOther();
         this->instance->runFor(item.after);
-        const std::size_t requests = this->asking->requests();
-        const std::size_t probes = this->asking->probes();
+        const std::size_t requests = this->pausing->requests();
+        const std::size_t probes = this->pausing->probes();
         for (int call = 0; call < 5; ++call)
             LONGS_EQUAL_TEXT(200, this->instance->call().status, item.name);
-        CHECK_EQUAL_TEXT(item.isLeftAlone, this->asking->requests() == requests, item.name);
+        CHECK_EQUAL_TEXT(item.isLeftAlone, this->pausing->requests() == requests, item.name);
         if (item.isLeftAlone)
-            LONGS_EQUAL_TEXT(probes, this->asking->probes(), item.name);
+            LONGS_EQUAL_TEXT(probes, this->pausing->probes(), item.name);
     }
 }
 
 TEST(AskedPauses, OfAllServersRefuseRequestsAtOnce)
 {
-    this->turnAway(retryAfter("2"));
-    const std::size_t requests = this->asking->requests();
+    this->beginAfterRefusal(retryAfter("2"));
+    const std::size_t requests = this->pausing->requests();
     const CallerAnswer refused = this->instance->call();
     LONGS_EQUAL(503, refused.status);
-    CHECK(refused.took < AtOnce);
+    CHECK(refused.took < MaxTimeToRefuse);
     const double comeBack = std::stod("0" + refused.field("Retry-After"));
     CHECK_TEXT(comeBack >= 1.5 && comeBack <= 5, "not before the pause is over, and spread over time");
-    LONGS_EQUAL(requests, this->asking->requests());
+    LONGS_EQUAL(requests, this->pausing->requests());
 }
 
 TEST(AskedPauses, ThatEndSoonAreWaitedFor)
 {
     // Within the share of the target latency, 1.5 s, that a request may wait.
-    this->turnAway(retryAfter("0.02"));
+    this->beginAfterRefusal(retryAfter("0.02"));
     LONGS_EQUAL(200, this->instance->call().status);
 }
 
 TEST(AskedPauses, InProbeAnswersAreRespected)
 {
     this->begin([](const ScriptedRequest& request) {
-        return request.isProbe ? turnedAway(request, "Instance-Id: i-a\r\n" + retryAfter("5")) : freeAnswer(request);
+        return request.isProbe ? refusalWith(request, "Instance-Id: i-a\r\n" + retryAfter("5")) : freeAnswer(request);
     });
     this->addOther();
     for (int call = 0; call < 8; ++call)
         LONGS_EQUAL(200, this->instance->call().status);
-    LONGS_EQUAL(0, this->asking->requests());
-    LONGS_EQUAL(1, this->asking->probes());
+    LONGS_EQUAL(0, this->pausing->requests());
+    LONGS_EQUAL(1, this->pausing->probes());
 }
 
 TEST(AskedPauses, OutliveTheRecordAndEndWithTheLifeOfTheServer)
 {
-    this->turnAway(retryAfter("30"));
+    this->beginAfterRefusal(retryAfter("30"));
     this->addOther();
     this->instance->removeServer("i-a");
     this->instance->call();
-    this->instance->putServer("i-a", this->asking->address());
-    const std::size_t requests = this->asking->requests();
+    this->instance->putServer("i-a", this->pausing->address());
+    const std::size_t requests = this->pausing->requests();
     for (int call = 0; call < 5; ++call)
         this->instance->call();
-    LONGS_EQUAL(requests, this->asking->requests());
-    this->instance->putServer("i-a", this->asking->address(), 2000);
+    LONGS_EQUAL(requests, this->pausing->requests());
+    this->instance->putServer("i-a", this->pausing->address(), 2000);
     for (int call = 0; call < 5; ++call)
         this->instance->call();
-    CHECK(this->asking->requests() > requests);
+    CHECK(this->pausing->requests() > requests);
 }
--- a/Tests/Platform/HeaderDialectTest.cpp
+++ b/Tests/Platform/HeaderDialectTest.cpp
@@ -73,7 +73,7 @@
     RefusalReason reason;
     RefusedOutcome outcome;
     unsigned status;
-    bool comesBack;
+    bool hasRetryAfter;
 };
 
 const std::vector<RefusalCase> RefusalCases{
@@ -141,7 +141,7 @@
         LONGS_EQUAL(item.status, answer.result_int());
         CHECK(valueOf(answer, "Request-Id") == "r-1");
         CHECK(valueOf(answer, "Server-Signature").empty());
-        CHECK(valueOf(answer, "Retry-After") == (item.comesBack ? "0.250" : ""));
+        CHECK(valueOf(answer, "Retry-After") == (item.hasRetryAfter ? "0.250" : ""));
     }
 }
 
--- a/Tests/Platform/KvFactTranslatorTest.cpp
+++ b/Tests/Platform/KvFactTranslatorTest.cpp
@@ -55,13 +55,13 @@
 };
 
 /** A change that makes the record of a backend server invalid. */
-struct ForeignRecord {
+struct InvalidRecord {
     const char* name;
-    const char* usual; // text of the valid record
-    const char* foreign; // text that replaces it
+    const char* valid; // text of the valid record
+    const char* invalid; // text that replaces it
 };
 
-const std::vector<ForeignRecord> ForeignRecords{
+const std::vector<InvalidRecord> InvalidRecords{
     { "no address", R"("address":"10.128.0.9:8080",)", "" },
     { "an invalid address", R"("10.128.0.9:8080")", R"("somewhere")" },
     { "an address of another type", R"("10.128.0.9:8080")", "7" },
@@ -169,8 +169,8 @@
 
 TEST(KvFactTranslator, AnInvalidRecordIsNotUsed)
 {
-    for (const ForeignRecord& each : ForeignRecords) {
-        const std::string record = replaced(Server, each.usual, each.foreign);
+    for (const InvalidRecord& each : InvalidRecords) {
+        const std::string record = replaced(Server, each.valid, each.invalid);
         const Facts facts = this->translator.translate(item("servers/i-7", record.c_str()));
         CHECK_TEXT(facts.backendServers.empty(), each.name);
         LONGS_EQUAL_TEXT(1, facts.unusableBackendServers.size(), each.name);
--- a/Tests/Platform/LeavingNoticesTest.cpp
+++ b/Tests/Platform/LeavingNoticesTest.cpp
@@ -20,10 +20,10 @@
 namespace {
 
 /** Reports less load than plainAnswer, so that only the announcement keeps requests away. */
-constexpr const char* Leaving = "Server-Leaving: 1\r\nInstance-Load: 0,0,3,100\r\n";
-constexpr const char* Refused = "Not-Executed: 1\r\n";
+constexpr const char* LeavingFields = "Server-Leaving: 1\r\nInstance-Load: 0,0,3,100\r\n";
+constexpr const char* RefusedField = "Not-Executed: 1\r\n";
 /** Upper bound for a refusal without waiting; a request that waits does so for 330 ms, 0.22 of the target latency. */
-constexpr Milliseconds AtOnce{ 150 };
+constexpr Milliseconds MaxTimeToRefuse{ 150 };
 
 std::string plainAnswer(const ScriptedRequest& request)
 {
@@ -40,7 +40,7 @@
  * Answers requests by this script. Answers to probes contain no announcement and report little load, so that the
  * server is preferred.
  */
-ScriptedServer::Script toRequests(const ScriptedServer::Script& script)
+ScriptedServer::Script onlyToRequests(const ScriptedServer::Script& script)
 {
     return [script](const ScriptedRequest& request) {
         return request.isProbe ? scriptedAnswer(request, 200, "Instance-Id: i-a\r\nInstance-Load: 0,0,3,100\r\n")
@@ -48,9 +48,9 @@
     };
 }
 
-std::string sayLeaving(const ScriptedRequest& request)
+std::string announceLeaving(const ScriptedRequest& request)
 {
-    return scriptedAnswer(request, 200, Leaving);
+    return scriptedAnswer(request, 200, LeavingFields);
 }
 
 /** A server that announces in some of its answers that it is leaving. */
@@ -61,27 +61,29 @@
 };
 
 const std::vector<LeavingCase> LeavingCases{
-    { "a success", toRequests(sayLeaving), 1 },
-    { "an error", toRequests([](const ScriptedRequest& request) { return scriptedAnswer(request, 500, Leaving); }), 1 },
-    { "a refusal", toRequests([](const ScriptedRequest& request) {
-         return scriptedAnswer(request, 503, std::string(Refused) + Leaving);
+    { "a success", onlyToRequests(announceLeaving), 1 },
+    { "an error",
+        onlyToRequests([](const ScriptedRequest& request) { return scriptedAnswer(request, 500, LeavingFields); }), 1 },
+    { "a refusal", onlyToRequests([](const ScriptedRequest& request) {
+         return scriptedAnswer(request, 503, std::string(RefusedField) + LeavingFields);
      }),
         1 },
-    { "an answer that breaks off", toRequests([](const ScriptedRequest&) { return brokenAnswer(Leaving); }), 1 },
-    { "a late answer to another request", toRequests([](const ScriptedRequest& request) {
+    { "an answer that breaks off", onlyToRequests([](const ScriptedRequest&) { return brokenAnswer(LeavingFields); }),
+        1 },
+    { "a late answer to another request", onlyToRequests([](const ScriptedRequest& request) {
          const std::string late = "HTTP/1.1 200 x\r\nContent-Length: 2\r\nServer-Signature: s\r\nRequest-Id: other\r\n";
-         return late + Leaving + "\r\nok" + plainAnswer(request);
+         return late + LeavingFields + "\r\nok" + plainAnswer(request);
      }),
         1 },
     { "a successful answer to a probe",
         [](const ScriptedRequest& request) {
-            return request.isProbe ? scriptedAnswer(request, 200, std::string("Instance-Id: i-a\r\n") + Leaving)
+            return request.isProbe ? scriptedAnswer(request, 200, std::string("Instance-Id: i-a\r\n") + LeavingFields)
                                    : plainAnswer(request);
         },
         0 },
     { "a refusal of a probe",
         [](const ScriptedRequest& request) {
-            return request.isProbe ? scriptedAnswer(request, 503, std::string("Instance-Id: i-a\r\n") + Leaving)
+            return request.isProbe ? scriptedAnswer(request, 503, std::string("Instance-Id: i-a\r\n") + LeavingFields)
                                    : plainAnswer(request);
         },
         0 },
@@ -93,25 +95,25 @@
 {
     std::unique_ptr<asio::io_context> context; // must outlive the objects below
     std::unique_ptr<LoopbackInstance> instance;
-    std::unique_ptr<ScriptedServer> wordy; // i-a
-    std::unique_ptr<ScriptedServer> plain; // i-b
+    std::unique_ptr<ScriptedServer> leaving; // i-a
+    std::unique_ptr<ScriptedServer> other; // i-b
 
     /** Starts an instance with i-a as its only server, which answers by this script. */
     void begin(const ScriptedServer::Script& script)
     {
         this->instance.reset();
-        this->wordy.reset();
-        this->plain.reset();
+        this->leaving.reset();
+        this->other.reset();
         this->context = std::make_unique<asio::io_context>();
         this->instance = std::make_unique<LoopbackInstance>(*this->context);
-        this->wordy = std::make_unique<ScriptedServer>(*this->context, script);
-        this->plain = std::make_unique<ScriptedServer>(*this->context, plainAnswer);
-        this->instance->putServer("i-a", this->wordy->address());
+        this->leaving = std::make_unique<ScriptedServer>(*this->context, script);
+        this->other = std::make_unique<ScriptedServer>(*this->context, plainAnswer);
+        this->instance->putServer("i-a", this->leaving->address());
     }
 
-    void addPlain() const
+    void addOther() const
     {
-        this->instance->putServer("i-b", this->plain->address());
+        this->instance->putServer("i-b", this->other->address());
     }
 
     void callOften(int times) const
@@ -126,48 +128,48 @@
     for (const LeavingCase& item : LeavingCases) {
         this->begin(item.script);
         this->instance->call();
-        this->addPlain();
+        this->addOther();
         this->callOften(10);
-        LONGS_EQUAL_TEXT(item.requests, this->wordy->requests(), item.name);
-        CHECK_TEXT(this->plain->requests() >= 10, item.name);
+        LONGS_EQUAL_TEXT(item.requests, this->leaving->requests(), item.name);
+        CHECK_TEXT(this->other->requests() >= 10, item.name);
     }
 }
 
 TEST(LeavingNotices, OfAllServersRefuseRequestsAtOnce)
 {
-    this->begin(toRequests(sayLeaving));
+    this->begin(onlyToRequests(announceLeaving));
     LONGS_EQUAL(200, this->instance->call().status);
     const CallerAnswer refused = this->instance->call();
     LONGS_EQUAL(503, refused.status);
     CHECK(!refused.field("Retry-After").empty());
-    CHECK(refused.took < AtOnce);
-    LONGS_EQUAL(1, this->wordy->requests());
+    CHECK(refused.took < MaxTimeToRefuse);
+    LONGS_EQUAL(1, this->leaving->requests());
 }
 
 TEST(LeavingNotices, OutliveTheRecordAndProbeAnswers)
 {
-    this->begin(toRequests(sayLeaving));
+    this->begin(onlyToRequests(announceLeaving));
     this->instance->call();
-    this->addPlain();
+    this->addOther();
     this->instance->removeServer("i-a");
     this->callOften(2);
-    this->instance->putServer("i-a", this->wordy->address());
+    this->instance->putServer("i-a", this->leaving->address());
     this->callOften(10);
-    LONGS_EQUAL(1, this->wordy->requests());
+    LONGS_EQUAL(1, this->leaving->requests());
 }
 
 TEST(LeavingNotices, DoNotApplyToANewLife)
 {
     for (const char* next : { "i-a", "i-c" }) {
-        this->begin(toRequests(sayLeaving));
-        this->instance->putServer("i-a", this->wordy->address(), 1000);
+        this->begin(onlyToRequests(announceLeaving));
+        this->instance->putServer("i-a", this->leaving->address(), 1000);
         this->instance->call();
-        this->wordy->answerWith(plainAnswer);
+        this->leaving->answerWith(plainAnswer);
         if (next == std::string("i-c"))
             this->instance->removeServer("i-a");
-        this->instance->putServer(next, this->wordy->address(), 2000);
+        this->instance->putServer(next, this->leaving->address(), 2000);
         LONGS_EQUAL_TEXT(200, this->instance->call().status, next);
-        LONGS_EQUAL_TEXT(2, this->wordy->requests(), next);
+        LONGS_EQUAL_TEXT(2, this->leaving->requests(), next);
     }
 }
 
--- a/Tests/Platform/NamedLimitsTest.cpp
+++ b/Tests/Platform/NamedLimitsTest.cpp
@@ -22,13 +22,13 @@
 constexpr double WindowSeconds = 4;
 constexpr Milliseconds Window{ 1000 * WindowSeconds };
 /** Requests that were sent before the first answer may still arrive for this long and are not counted. */
-constexpr Milliseconds OnItsWay{ 500 };
+constexpr Milliseconds TimeInFlight{ 500 };
 /** The platform allows in a window one and a half times the limit and five requests more. */
-constexpr auto MostInWindow = static_cast<std::size_t>(1.5 * Limit * WindowSeconds + 5);
+constexpr auto MaxInWindow = static_cast<std::size_t>(1.5 * Limit * WindowSeconds + 5);
 /** At least 0.7 of the limit must be used if callers send more than that. */
-constexpr auto LeastInWindow = static_cast<std::size_t>(0.7 * Limit * WindowSeconds);
+constexpr auto MinInWindow = static_cast<std::size_t>(0.7 * Limit * WindowSeconds);
 /** After this time the instance knows the number of instances that share the limit. */
-constexpr Milliseconds Settling{ 4500 };
+constexpr Milliseconds FleetSizeKnownAfter{ 4500 };
 constexpr Milliseconds BetweenCalls{ 20 };
 
 /** The answers in which the server states its limit. */
@@ -97,7 +97,7 @@
     {
         if (this->arrivals.empty())
             return 0;
-        const Milliseconds from = this->arrivals.front() + OnItsWay;
+        const Milliseconds from = this->arrivals.front() + TimeInFlight;
         return static_cast<std::size_t>(std::count_if(this->arrivals.begin(), this->arrivals.end(),
             [from](Milliseconds at) { return at >= from && at < from + Window; }));
     }
@@ -106,10 +106,10 @@
 TEST(NamedLimits, OfTheOnlyServerAreRespectedAndUsed)
 {
     this->begin(Cases.front());
-    this->instance->runFor(Settling);
-    this->callFor(OnItsWay + Window);
-    CHECK_COMPARE(this->counted(), <=, MostInWindow);
-    CHECK_COMPARE(this->counted(), >=, LeastInWindow);
+    this->instance->runFor(FleetSizeKnownAfter);
+    this->callFor(TimeInFlight + Window);
+    CHECK_COMPARE(this->counted(), <=, MaxInWindow);
+    CHECK_COMPARE(this->counted(), >=, MinInWindow);
 }
 
 TEST(NamedLimits, AreReadFromEachKindOfAnswer)
@@ -118,8 +118,8 @@
         this->begin(item);
         this->instance->call();
         this->instance->putServer("i-b", this->other->address());
-        this->callFor(OnItsWay + Window);
-        CHECK_TEXT(this->counted() <= MostInWindow, item.name);
+        this->callFor(TimeInFlight + Window);
+        CHECK_TEXT(this->counted() <= MaxInWindow, item.name);
         // If answers to probes do not state the limit, only the answer to a first request can.
         CHECK_TEXT(item.inHealthAnswers || !this->arrivals.empty(), item.name);
     }
@@ -130,6 +130,6 @@
     this->begin(Cases.front());
     this->instance->putServer("i-b", this->other->address());
     const std::size_t answered = this->callFor(Window);
-    CHECK_TEXT(answered > MostInWindow, "no request is refused while another server has capacity");
-    CHECK_TEXT(this->arrivals.size() <= MostInWindow, "the limit");
+    CHECK_TEXT(answered > MaxInWindow, "no request is refused while another server has capacity");
+    CHECK_TEXT(this->arrivals.size() <= MaxInWindow, "the limit");
 }
--- a/Tests/Traffic/BearerKeyTest.cpp
+++ b/Tests/Traffic/BearerKeyTest.cpp
@@ -51,12 +51,12 @@
 };
 
 /** A dialect and the field in which it names the customer to backend servers. */
-struct Form {
+struct DialectForm {
     std::shared_ptr<TrafficDialect> dialect;
     std::string customerField;
 };
 
-const std::vector<Form> Forms{
+const std::vector<DialectForm> DialectForms{
     { std::make_shared<OwnTrafficDialect>(), "Burlreach-Customer" },
     { std::make_shared<platform::HeaderDialect>(), "Tenant-Id" },
 };
@@ -76,7 +76,7 @@
 TEST(BearerKey, IsReadOnlyFromOneWellFormedField)
 {
     for (const Case& item : Cases) {
-        for (const Form& form : Forms) {
+        for (const DialectForm& form : DialectForms) {
             const Credential credential = form.dialect->readCaller(requestWith(item.fields)).credential;
             CHECK_TEXT(credential.kind == item.kind, item.name);
         }
@@ -86,7 +86,7 @@
 
 TEST(BearerKey, RemovesKeyAndClaimedNameIfThereAreCustomers)
 {
-    for (const Form& form : Forms) {
+    for (const DialectForm& form : DialectForms) {
         const std::string& field = form.customerField;
         std::string shouted = field;
         for (char& letter : shouted)
@@ -111,7 +111,7 @@
 
 TEST(BearerKey, ForwardsFieldsUnchangedWithoutCustomers)
 {
-    for (const Form& form : Forms) {
+    for (const DialectForm& form : DialectForms) {
         HttpRequest request = requestWith({ { "Authorization", "Basic abc" }, { form.customerField, "x" } });
         form.dialect->writeAttempt(request, { .backendServer = "s1", .timeLeft = { 100 } });
         STRCMP_EQUAL("Basic abc", std::string(valueOf(request, "Authorization")).c_str());
--- a/Tests/Traffic/RequestDeskTest.cpp
+++ b/Tests/Traffic/RequestDeskTest.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 /** Records the posted events and reacts to arrivals as the test says. */
-class NotingSink final : public EventSink {
+class RecordingSink final : public EventSink {
 public:
     void post(const Event& event) override
     {
@@ -75,7 +75,7 @@
 TEST_GROUP(RequestDesk)
 {
     /** Requests to paths of one lower-case letter may be repeated. */
-    class SmallLetters final : public RepeatLookup {
+    class LowerCaseIsRepeatable final : public RepeatLookup {
     public:
         bool mayRepeat(std::string_view, std::string_view, std::string_view path) const override
         {
@@ -83,12 +83,12 @@
         }
     };
 
-    SmallLetters repeats;
+    LowerCaseIsRepeatable repeats;
     asio::io_context context;
     SteadyClock clock;
     OwnTrafficDialect dialect;
     TrafficMetrics metrics;
-    NotingSink sink;
+    RecordingSink sink;
     std::uint16_t port = 0;
     std::unique_ptr<RequestDesk> desk;
 
@@ -141,7 +141,7 @@
     }
 
     /** The path letters of the requests for which an arrival was posted. */
-    std::string begun() const
+    std::string startedPaths() const
     {
         std::string letters;
         for (const RequestArrived& item : this->sink.arrived)
@@ -149,7 +149,7 @@
         return letters;
     }
 
-    void pass(Milliseconds span)
+    void runFor(Milliseconds span)
     {
         this->context.restart();
         this->context.run_for(std::chrono::milliseconds(static_cast<int>(span.count)));
@@ -234,7 +234,7 @@
     for (const Sent& item : table) {
         this->sink.arrived.clear();
         this->answersTo(this->requestsTo(item.paths));
-        STRCMP_EQUAL_TEXT(item.begun, this->begun().c_str(), item.name);
+        STRCMP_EQUAL_TEXT(item.begun, this->startedPaths().c_str(), item.name);
     }
 }
 
@@ -243,14 +243,14 @@
     this->configure();
     asio::ip::tcp::socket socket = this->connect();
     asio::write(socket, asio::buffer(this->requestsTo("abX")));
-    this->pass({ 40 });
-    STRCMP_EQUAL("ab", this->begun().c_str());
+    this->runFor({ 40 });
+    STRCMP_EQUAL("ab", this->startedPaths().c_str());
     this->refuse(1);
-    this->pass({ 40 });
-    STRCMP_EQUAL_TEXT("ab", this->begun().c_str(), "the first is still unanswered");
+    this->runFor({ 40 });
+    STRCMP_EQUAL_TEXT("ab", this->startedPaths().c_str(), "the first is still unanswered");
     this->refuse(0);
-    this->pass({ 40 });
-    STRCMP_EQUAL("abX", this->begun().c_str());
+    this->runFor({ 40 });
+    STRCMP_EQUAL("abX", this->startedPaths().c_str());
 }
 
 TEST(RequestDesk, ALostConnectionCancelsAllItsRequests)
@@ -259,10 +259,10 @@
     {
         asio::ip::tcp::socket socket = this->connect();
         asio::write(socket, asio::buffer(this->requestsTo("abc")));
-        this->pass({ 40 });
+        this->runFor({ 40 });
         LONGS_EQUAL(3, this->desk->openRequests());
     }
-    this->pass({ 40 });
+    this->runFor({ 40 });
     LONGS_EQUAL(3, this->sink.gone);
     LONGS_EQUAL(0, this->desk->openRequests());
 }
@@ -274,14 +274,14 @@
     this->configure();
     asio::ip::tcp::socket socket = this->connect();
     asio::write(socket, asio::buffer(this->requestsTo("abX")));
-    this->pass({ 40 });
+    this->runFor({ 40 });
     this->desk->sessions().closeAfterAnswers();
     asio::write(socket, asio::buffer(this->requestsTo("c")));
-    this->pass({ 40 });
+    this->runFor({ 40 });
     this->refuse(0);
     this->refuse(1);
-    this->pass({ 40 });
-    STRCMP_EQUAL("ab", this->begun().c_str());
+    this->runFor({ 40 });
+    STRCMP_EQUAL("ab", this->startedPaths().c_str());
     const std::string answers = this->readFrom(socket);
     const std::size_t first = answers.find("HTTP/1.1 503");
     const std::size_t second = answers.find("HTTP/1.1 503", first + 1);
@@ -295,11 +295,11 @@
     this->configure();
     asio::ip::tcp::socket socket = this->connect();
     asio::write(socket, asio::buffer(this->requestsTo("a") + "no request\r\n\r\n" + this->requestsTo("b")));
-    this->pass({ 40 });
-    STRCMP_EQUAL("a", this->begun().c_str());
+    this->runFor({ 40 });
+    STRCMP_EQUAL("a", this->startedPaths().c_str());
     STRCMP_EQUAL("", this->readFrom(socket).c_str());
     this->refuse(0);
-    this->pass({ 40 });
+    this->runFor({ 40 });
     const std::string answers = this->readFrom(socket);
     CHECK(answers.find("HTTP/1.1 503") < answers.find("HTTP/1.1 400"));
     CHECK(answers.find("HTTP/1.1 400") != std::string::npos);
@@ -312,10 +312,10 @@
     asio::ip::tcp::socket socket = this->connect();
     const std::string expecting = "POST /Y HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n";
     asio::write(socket, asio::buffer(this->requestsTo("a") + expecting));
-    this->pass({ 40 });
+    this->runFor({ 40 });
     STRCMP_EQUAL("", this->readFrom(socket).c_str());
     this->refuse(0);
-    this->pass({ 40 });
+    this->runFor({ 40 });
     const std::string answers = this->readFrom(socket);
     CHECK(answers.find("HTTP/1.1 503") < answers.find("HTTP/1.1 100"));
     CHECK(answers.find("HTTP/1.1 100") != std::string::npos);
@@ -328,9 +328,9 @@
     asio::ip::tcp::socket socket = this->connect();
     const std::string hurried = "GET /X HTTP/1.1\r\nHost: x\r\nBurlreach-Deadline-Milliseconds: 1000\r\n\r\n";
     asio::write(socket, asio::buffer(this->requestsTo("a") + hurried));
-    this->pass({ 80 });
+    this->runFor({ 80 });
     this->refuse(0);
-    this->pass({ 40 });
+    this->runFor({ 40 });
     LONGS_EQUAL(2, this->sink.arrived.size());
     CHECK(*this->sink.arrived.back().timeLeft <= Milliseconds{ 960 });
 }
--- a/Tests/Traffic/RetryAfterTest.cpp
+++ b/Tests/Traffic/RetryAfterTest.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr double Nothing = -1;
-constexpr double Practically = 1e12; // milliseconds; stands for at least that much
+constexpr double VeryLong = 1e12; // milliseconds; stands for at least that much
 
 struct Case {
     std::string value; // of Retry-After
@@ -27,15 +27,15 @@
     { "0.0", "", 0 },
     { "00012", "", 12000 },
     { "86400", "", 86400000 },
-    { std::string(30, '9'), "", Practically },
-    { std::string(5000, '9'), "", Practically },
+    { std::string(30, '9'), "", VeryLong },
+    { std::string(5000, '9'), "", VeryLong },
     { "0." + std::string(400, '0') + "1", "", 0 },
     { "Thu, 03 Dec 2026 10:00:30 GMT", "Thu, 03 Dec 2026 10:00:00 GMT", 30000 },
     { "Thursday, 03-Dec-26 10:00:30 GMT", "Thu, 03 Dec 2026 10:00:00 GMT", 30000 },
     { "Thu Dec  3 10:00:30 2026", "Thu, 03 Dec 2026 10:00:00 GMT", 30000 },
     { "Thu, 03 Dec 2026 09:59:00 GMT", "Thu, 03 Dec 2026 10:00:00 GMT", 0 },
     { "Sun, 06 Nov 1994 08:49:37 GMT", "", 0 },
-    { "Fri, 01 Jan 2999 00:00:00 GMT", "", Practically },
+    { "Fri, 01 Jan 2999 00:00:00 GMT", "", VeryLong },
     { "", "", Nothing },
     { " ", "", Nothing },
     { "soon", "", Nothing },
@@ -68,8 +68,7 @@
         CHECK_EQUAL_TEXT(item.expected != Nothing, asked.has_value(), item.value.c_str());
         if (!asked)
             continue;
-        const bool isAsAsked
-            = item.expected == Practically ? asked->count >= Practically : asked->count == item.expected;
+        const bool isAsAsked = item.expected == VeryLong ? asked->count >= VeryLong : asked->count == item.expected;
         CHECK_TEXT(isAsAsked, item.value.c_str());
         CHECK_TEXT(*asked < Never, item.value.c_str());
     }
--- a/Tests/Traffic/UnreadFieldsTest.cpp
+++ b/Tests/Traffic/UnreadFieldsTest.cpp
@@ -14,7 +14,7 @@
 struct Case {
     const char* name;
     std::vector<const char*> fields; // of the first answer that is seen
-    std::vector<const char*> told; // names that are reported
+    std::vector<const char*> reported; // names that are reported
 };
 
 const std::vector<Case> Cases{
@@ -46,9 +46,9 @@
         this->unread = {};
         const HttpResponse answer = answerWith(item.fields);
         const auto told = this->unread.findNew(answer, this->dialect);
-        LONGS_EQUAL_TEXT(item.told.size(), told.size(), item.name);
+        LONGS_EQUAL_TEXT(item.reported.size(), told.size(), item.name);
         for (std::size_t index = 0; index < told.size(); ++index)
-            STRCMP_EQUAL_TEXT(item.told[index], told[index].name.c_str(), item.name);
+            STRCMP_EQUAL_TEXT(item.reported[index], told[index].name.c_str(), item.name);
         LONGS_EQUAL_TEXT(0, this->unread.findNew(answer, this->dialect).size(), item.name);
     }
 }
