--- a/Tests/Http/AnswerQueueTest.cpp
+++ b/Tests/Http/AnswerQueueTest.cpp
@@ -32,13 +32,14 @@
     { "in order", { { 'b', 1 }, { 'b', 2 }, { 'p', 1 }, { 'p', 2 } }, "12", false },
     { "the second is ready first", { { 'b', 1 }, { 'b', 2 }, { 'p', 2 }, { 'p', 1 } }, "12", false },
     { "the first is missing", { { 'b', 1 }, { 'b', 2 }, { 'b', 3 }, { 'p', 2 }, { 'p', 3 } }, "", true },
-    { "a gap", { { 'b', 1 }, { 'b', 2 }, { 'b', 3 }, { 'p', 1 }, { 'p', 3 } }, "1", true },
+    { "the second is missing", { { 'b', 1 }, { 'b', 2 }, { 'b', 3 }, { 'p', 1 }, { 'p', 3 } }, "1", true },
     { "answered twice", { { 'b', 1 }, { 'p', 1 }, { 'p', 1 } }, "1", false },
     { "never begun", { { 'b', 1 }, { 'p', 2 } }, "", true },
-    { "the caller closes after the second", { { 'b', 1 }, { 'c', 2 }, { 'p', 2 }, { 'p', 1 } }, "12|", false },
-    { "the end waits for the newest", { { 'b', 1 }, { 'b', 2 }, { 'e', 1 }, { 'e', 2 } }, "12|", false },
-    { "the end is asked for between", { { 'b', 1 }, { 'b', 2 }, { 'p', 2 }, { 'e', 1 } }, "12|", false },
-    { "no end before a request without an answer", { { 'b', 1 }, { 'b', 2 }, { 'e', 1 } }, "1", true },
+    { "the caller asks to close after the second", { { 'b', 1 }, { 'c', 2 }, { 'p', 2 }, { 'p', 1 } }, "12|", false },
+    { "the close waits for the newest", { { 'b', 1 }, { 'b', 2 }, { 'e', 1 }, { 'e', 2 } }, "12|", false },
+    { "the close is requested while the newest has its answer", { { 'b', 1 }, { 'b', 2 }, { 'p', 2 }, { 'e', 1 } },
+        "12|", false },
+    { "no close before an unanswered request", { { 'b', 1 }, { 'b', 2 }, { 'e', 1 } }, "1", true },
 };
 
 HttpResponse responseOf(HttpRequestNumber request)
--- a/Tests/Http/HttpExchangeTest.cpp
+++ b/Tests/Http/HttpExchangeTest.cpp
@@ -116,7 +116,7 @@
         "", false },
     { "cut in its header", { "HTTP/1.1 200 OK\r\nRequ", true, false }, Broken, "", false },
     { "closed without an answer", { "", true, false }, Broken, "", false },
-    { "no HTTP at all", { "\x01\x02\x03 not an answer\r\n\r\n" }, Broken, "", false },
+    { "bytes that are not HTTP", { "\x01\x02\x03 not an answer\r\n\r\n" }, Broken, "", false },
     { "only an answer to another request", { Foreign, true, false }, Broken, "", false },
     { "no answer", { "" }, HttpExchangeResult::TimedOut, "", false },
 };
--- a/Tests/Traffic/BearerKeyTest.cpp
+++ b/Tests/Traffic/BearerKeyTest.cpp
@@ -32,7 +32,7 @@
 const std::vector<Case> Cases{
     { "none", {}, Kind::None },
     { "a key", { { "Authorization", "Bearer k1" } }, Kind::Key },
-    { "another spelling", { { "AUTHORIZATION", "bEARER k1" } }, Kind::Key },
+    { "upper and lower case", { { "AUTHORIZATION", "bEARER k1" } }, Kind::Key },
     { "several blanks", { { "Authorization", "Bearer   k1" } }, Kind::Key },
     { "all characters that a key may have", { { "Authorization", "Bearer aZ09-._~+/==" } }, Kind::Key },
     { "no blank", { { "Authorization", "Bearerk1" } }, Kind::Unreadable },
@@ -45,7 +45,7 @@
     { "two values", { { "Authorization", "Bearer k1, Bearer k2" } }, Kind::Unreadable },
     { "two fields", { { "Authorization", "Bearer k1" }, { "authorization", "Bearer k1" } }, Kind::Unreadable },
     { "quotes", { { "Authorization", "Bearer \"k1\"" } }, Kind::Unreadable },
-    { "no text", { { "Authorization", "Bearer k\x80\xff" } }, Kind::Unreadable },
+    { "bytes beyond ASCII", { { "Authorization", "Bearer k\x80\xff" } }, Kind::Unreadable },
     { "a long key", { { "Authorization", "Bearer " + std::string(4096, 'k') } }, Kind::Key },
     { "a key of 8 KB", { { "Authorization", "Bearer " + std::string(8192, 'k') } }, Kind::Unreadable },
 };
--- a/Tests/Traffic/NamedLimitTest.cpp
+++ b/Tests/Traffic/NamedLimitTest.cpp
@@ -13,7 +13,7 @@
 
 struct Case {
     const char* name;
-    std::vector<std::string> values; // of the field, which may stand several times
+    std::vector<std::string> values; // of the field, which may occur several times
     std::optional<double> limit;
 };
 
@@ -22,15 +22,15 @@
     { "a whole number", { "3" }, 3 },
     { "a decimal number", { "2.7" }, 2.7 },
     { "blanks around it", { "  2.7 " }, 2.7 },
-    { "nothing at all", { "0" }, 0 },
+    { "zero", { "0" }, 0 },
     { "zero with a point", { "0.0" }, 0 },
-    { "less than nothing", { "-1" }, {} },
+    { "a negative number", { "-1" }, {} },
     { "an exponent", { "1e3" }, {} },
     { "text", { "few" }, {} },
-    { "no number", { "nan" }, {} },
-    { "without end", { "inf" }, {} },
+    { "not a number", { "nan" }, {} },
+    { "infinity", { "inf" }, {} },
     { "an empty value", { "" }, {} },
-    { "a number and more", { "3 a second" }, {} },
+    { "a number and other text", { "3 a second" }, {} },
     { "twice", { "5", "2.5" }, 2.5 },
     { "twice, once unreadable", { "x", "4" }, 4 },
 };
@@ -49,5 +49,5 @@
     }
     HttpFields fields;
     fields.insert("Some-Limit", std::string(400, '9'));
-    CHECK_TEXT(namedLimitOf(fields, "Some-Limit").value_or(0) > 1e9, "beyond all numbers");
+    CHECK_TEXT(namedLimitOf(fields, "Some-Limit").value_or(0) > 1e9, "too large for a double");
 }
--- a/Tests/Traffic/RequestDeskTest.cpp
+++ b/Tests/Traffic/RequestDeskTest.cpp
@@ -54,19 +54,19 @@
 
 const std::vector<Case> Cases{
     { "one request", "GET /a HTTP/1.1\r\nHost: x\r\n\r\n", 1, { "HTTP/1.1 503", "no_backend_server" } },
-    { "two sent ahead", "GET /a HTTP/1.1\r\nHost: x\r\n\r\nGET /b HTTP/1.1\r\nHost: x\r\n\r\n", 2,
+    { "two pipelined requests", "GET /a HTTP/1.1\r\nHost: x\r\n\r\nGET /b HTTP/1.1\r\nHost: x\r\n\r\n", 2,
         { "HTTP/1.1 503", "HTTP/1.1 503" } },
     { "a body in chunks", "POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", 1,
         { "HTTP/1.1 503" } },
-    { "an expectation", "POST /a HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\nabc", 1,
+    { "Expect: 100-continue", "POST /a HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\nabc", 1,
         { "HTTP/1.1 503" } },
-    { "no HTTP", "hello there\r\n\r\n", 0, { "HTTP/1.1 400" } },
+    { "bytes that are not HTTP", "hello there\r\n\r\n", 0, { "HTTP/1.1 400" } },
     { "two lengths", "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc", 0,
         { "HTTP/1.1 400" } },
     { "a header that is too long", "GET /a HTTP/1.1\r\nHost: x\r\nLong: " + std::string(3000, 'x') + "\r\n\r\n", 0,
         { "HTTP/1.1 431" } },
     { "a body that is too long", "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 9999\r\n\r\n", 0, { "HTTP/1.1 413" } },
-    { "a deadline that is none", "GET /a HTTP/1.1\r\nHost: x\r\nBurlreach-Deadline-Milliseconds: x\r\n\r\n", 0,
+    { "an invalid deadline", "GET /a HTTP/1.1\r\nHost: x\r\nBurlreach-Deadline-Milliseconds: x\r\n\r\n", 0,
         { "HTTP/1.1 400", "bad_request" } },
 };
 
--- a/Tests/Traffic/UnreadFieldsTest.cpp
+++ b/Tests/Traffic/UnreadFieldsTest.cpp
@@ -20,7 +20,7 @@
 const std::vector<Case> Cases{
     { "fields of HTTP", { "Content-Type", "Retry-After", "Keep-Alive" }, {} },
     { "fields of the dialect", { "Burlreach-Load", "burlreach-not-run", "Burlreach-Request-Id" }, {} },
-    { "one that nothing reads", { "Burlreach-Load", "Server-Mood" }, { "Server-Mood" } },
+    { "an unknown field", { "Burlreach-Load", "Server-Mood" }, { "Server-Mood" } },
     { "the same twice", { "Server-Mood", "Server-Mood" }, { "Server-Mood" } },
 };
 
