--- a/Source/Http/AnswerQueue.cpp
+++ b/Source/Http/AnswerQueue.cpp
@@ -13,30 +13,30 @@
 
 bool AnswerQueue::setAnswer(HttpRequestNumber request, HttpResponse response)
 {
-    const auto place = std::find_if(this->requests.begin(), this->requests.end(),
+    const auto pending = std::find_if(this->requests.begin(), this->requests.end(),
         [request](const PendingRequest& item) { return item.request == request; });
-    if (place == this->requests.end() || place->response)
+    if (pending == this->requests.end() || pending->response)
         return false;
-    place->response = std::move(response);
+    pending->response = std::move(response);
     return true;
 }
 
 bool AnswerQueue::hasUnanswered() const
 {
     return std::any_of(
-        this->requests.begin(), this->requests.end(), [](const PendingRequest& place) { return !place.response; });
+        this->requests.begin(), this->requests.end(), [](const PendingRequest& pending) { return !pending.response; });
 }
 
 ReadyAnswers AnswerQueue::takeReady(bool endsConnection)
 {
     ReadyAnswers ready;
     while (!this->requests.empty() && this->requests.front().response) {
-        PendingRequest place = std::move(this->requests.front());
+        PendingRequest pending = std::move(this->requests.front());
         this->requests.pop_front();
-        ready.isLast = this->requests.empty() && (endsConnection || !place.form.keepsConnection);
-        place.response->version(place.form.version);
-        place.response->keep_alive(!ready.isLast);
-        ready.bytes += encode(std::move(*place.response), place.form.isHeadRequest);
+        ready.isLast = this->requests.empty() && (endsConnection || !pending.form.keepsConnection);
+        pending.response->version(pending.form.version);
+        pending.response->keep_alive(!ready.isLast);
+        ready.bytes += encode(std::move(*pending.response), pending.form.isHeadRequest);
     }
     return ready;
 }
--- a/Source/Http/HttpExchange.cpp
+++ b/Source/Http/HttpExchange.cpp
@@ -47,14 +47,14 @@
     this->parser->body_limit(this->options.maxAnswerBytes);
 }
 
-void HttpExchange::startTimeout(Milliseconds span, HttpExchangeResult result)
+void HttpExchange::startTimeout(Milliseconds duration, HttpExchangeResult result)
 {
     this->timer.cancel();
     // Cancelling does not stop a handler that is already queued; the number identifies the timeout in force.
     const unsigned limit = ++this->timeoutNumber;
-    if (span == Never)
+    if (duration == Never)
         return;
-    this->timer.expires_after(toDuration(span));
+    this->timer.expires_after(toDuration(duration));
     this->timer.async_wait([self = this->shared_from_this(), result, limit](const asio::error_code& error) {
         if (!error && !self->isFinished && limit == self->timeoutNumber)
             self->finish(result, std::nullopt);
--- a/Source/Http/HttpExchange.h
+++ b/Source/Http/HttpExchange.h
@@ -82,7 +82,7 @@
     void reportHeader();
     void answerComplete();
     void resetParser();
-    void startTimeout(Milliseconds span, HttpExchangeResult result);
+    void startTimeout(Milliseconds duration, HttpExchangeResult result);
     void finish(HttpExchangeResult result, std::optional<HttpResponse> response);
     bool mayReuseConnection(const HttpResponse& response) const;
     void closeConnection();
--- a/Source/Traffic/BearerKey.cpp
+++ b/Source/Traffic/BearerKey.cpp
@@ -45,14 +45,14 @@
     return { .kind = Credential::Kind::Key, .key = digestOfKey(key) };
 }
 
-void writeCustomer(HttpFields& fields, std::string_view nameField, const ForwardedCustomer& words)
+void writeCustomer(HttpFields& fields, std::string_view nameField, const ForwardedCustomer& forwarded)
 {
-    if (!words.withholdsKey)
+    if (!forwarded.withholdsKey)
         return;
     fields.erase({ KeyField.data(), KeyField.size() });
     fields.erase({ nameField.data(), nameField.size() });
-    if (!words.customer.empty())
-        setField(fields, nameField, words.customer);
+    if (!forwarded.customer.empty())
+        setField(fields, nameField, forwarded.customer);
 }
 
 }
--- a/Source/Traffic/BearerKey.h
+++ b/Source/Traffic/BearerKey.h
@@ -24,6 +24,6 @@
  * Removes the key from the request and sets the field nameField to the
  * customer's name. A value that the caller sent in that field is removed.
  */
-void writeCustomer(HttpFields& fields, std::string_view nameField, const ForwardedCustomer& words);
+void writeCustomer(HttpFields& fields, std::string_view nameField, const ForwardedCustomer& forwarded);
 
 }
--- a/Source/Traffic/FieldValues.cpp
+++ b/Source/Traffic/FieldValues.cpp
@@ -61,18 +61,18 @@
     return Milliseconds{ std::min(static_cast<double>(*number), MaxMilliseconds) };
 }
 
-std::string formatMilliseconds(Milliseconds span)
+std::string formatMilliseconds(Milliseconds duration)
 {
-    const double bounded = std::clamp(std::floor(span.count), 1.0, MaxMilliseconds);
+    const double bounded = std::clamp(std::floor(duration.count), 1.0, MaxMilliseconds);
     return std::to_string(static_cast<std::uint64_t>(bounded));
 }
 
-std::string formatSeconds(Milliseconds span)
+std::string formatSeconds(Milliseconds duration)
 {
     constexpr int decimals = 3;
     constexpr std::size_t longest = 32;
     std::array<char, longest> digits{};
-    const double seconds = std::clamp(span.count, 0.0, MaxMilliseconds) / MillisecondsPerSecond;
+    const double seconds = std::clamp(duration.count, 0.0, MaxMilliseconds) / MillisecondsPerSecond;
     const auto written = std::to_chars(digits.begin(), digits.end(), seconds, std::chars_format::fixed, decimals);
     return { digits.begin(), written.ptr };
 }
--- a/Source/Traffic/FieldValues.h
+++ b/Source/Traffic/FieldValues.h
@@ -14,9 +14,9 @@
 std::optional<Milliseconds> parseMilliseconds(std::string_view text);
 
 /** Formats a duration as whole milliseconds, rounded down, but at least 1. */
-std::string formatMilliseconds(Milliseconds span);
+std::string formatMilliseconds(Milliseconds duration);
 
 /** Formats a duration as seconds with three decimals, as in "0.250". */
-std::string formatSeconds(Milliseconds span);
+std::string formatSeconds(Milliseconds duration);
 
 }
--- a/Source/Traffic/OwnTrafficDialect.cpp
+++ b/Source/Traffic/OwnTrafficDialect.cpp
@@ -37,22 +37,22 @@
 
 CallerFields OwnTrafficDialect::readCaller(const HttpRequest& request) const
 {
-    CallerFields words;
-    words.requestId = valueOf(request, RequestIdHeader);
-    words.credential = readBearerKey(request);
+    CallerFields fields;
+    fields.requestId = valueOf(request, RequestIdHeader);
+    fields.credential = readBearerKey(request);
     const std::string_view deadline = valueOf(request, DeadlineHeader);
     if (!deadline.empty()) {
-        words.timeLeft = parseMilliseconds(deadline);
-        words.isValid = words.timeLeft.has_value();
+        fields.timeLeft = parseMilliseconds(deadline);
+        fields.isValid = fields.timeLeft.has_value();
     }
-    return words;
+    return fields;
 }
 
-void OwnTrafficDialect::writeAttempt(HttpRequest& request, const AttemptFields& words) const
+void OwnTrafficDialect::writeAttempt(HttpRequest& request, const AttemptFields& fields) const
 {
-    setField(request, DeadlineHeader, formatMilliseconds(words.timeLeft));
-    setField(request, BackendServerHeader, words.backendServer);
-    writeCustomer(request, CustomerHeader, words.customer);
+    setField(request, DeadlineHeader, formatMilliseconds(fields.timeLeft));
+    setField(request, BackendServerHeader, fields.backendServer);
+    writeCustomer(request, CustomerHeader, fields.customer);
 }
 
 void OwnTrafficDialect::writeProbe(HttpRequest& request, const std::string& backendServer) const
@@ -68,8 +68,8 @@
 
 bool OwnTrafficDialect::isAnswerTo(const HttpResponse& response, std::string_view requestId) const
 {
-    const std::string_view told = valueOf(response, RequestIdHeader);
-    return told.empty() || told == requestId;
+    const std::string_view answeredId = valueOf(response, RequestIdHeader);
+    return answeredId.empty() || answeredId == requestId;
 }
 
 ServerNotice OwnTrafficDialect::readNotice(const HttpResponse& response, std::string_view) const
--- a/Source/Traffic/OwnTrafficDialect.h
+++ b/Source/Traffic/OwnTrafficDialect.h
@@ -9,7 +9,7 @@
 public:
     CallerFields readCaller(const HttpRequest& request) const override;
     bool variesByAttempt(std::string_view field) const override;
-    void writeAttempt(HttpRequest& request, const AttemptFields& words) const override;
+    void writeAttempt(HttpRequest& request, const AttemptFields& fields) const override;
     void writeProbe(HttpRequest& request, const std::string& backendServer) const override;
     bool isKnownAnswerField(std::string_view field) const override;
     bool isAnswerTo(const HttpResponse& response, std::string_view requestId) const override;
--- a/Source/Traffic/RequestDesk.cpp
+++ b/Source/Traffic/RequestDesk.cpp
@@ -73,7 +73,7 @@
 void RequestDesk::requestRead(const std::shared_ptr<HttpSession>& session, ReadRequest read)
 {
     HttpRequest& message = read.message;
-    const CallerFields words = this->parts.dialect->readCaller(message);
+    const CallerFields fields = this->parts.dialect->readCaller(message);
     const Milliseconds now = this->parts.clock->now();
     const RequestNumber number = ++this->lastNumber;
     RequestArrived event;
@@ -81,12 +81,12 @@
     event.host = valueOf(message, "Host");
     event.method = std::string(message.method_string());
     event.path = std::string(message.target());
-    event.requestId = words.requestId;
-    if (words.timeLeft)
-        event.timeLeft = std::max(Milliseconds{}, *words.timeLeft - (now - read.readAt));
+    event.requestId = fields.requestId;
+    if (fields.timeLeft)
+        event.timeLeft = std::max(Milliseconds{}, *fields.timeLeft - (now - read.readAt));
     event.bodyBytes = message.body().size();
     event.caller = session->caller();
-    event.credential = words.credential;
+    event.credential = fields.credential;
     event.digest = digestOf({ .host = event.host,
         .method = event.method,
         .path = event.path,
@@ -96,11 +96,11 @@
     request.session = session;
     request.sessionRequest = read.number;
     request.message = std::move(message);
-    request.requestId = words.requestId;
+    request.requestId = fields.requestId;
     request.arrivedAt = now;
     this->requestsBySession.emplace(session->number(), number);
     this->parts.metrics->openRequests = this->requests.size();
-    if (words.isValid)
+    if (fields.isValid)
         return this->parts.sink->post(event);
     this->parts.sink->post(RefusedEarly{ .reason = RefusalReason::BadRequest });
     this->execute(RefuseRequest{ .request = number,
@@ -283,7 +283,7 @@
 {
     const auto found = this->requests.find(number);
     const auto session = found->second.session.lock();
-    const HttpRequestNumber place = found->second.sessionRequest;
+    const HttpRequestNumber answeredRequest = found->second.sessionRequest;
     const Milliseconds total = this->parts.clock->now() - found->second.arrivedAt;
     this->parts.metrics->added.add(total - std::min(total, found->second.atBackendServer));
     for (auto& [attempt, item] : found->second.attempts) {
@@ -295,7 +295,7 @@
     if (!session)
         return;
     this->removeFromSession(session->number(), number);
-    session->answer(place, std::move(response));
+    session->answer(answeredRequest, std::move(response));
 }
 
 void RequestDesk::execute(const SendProbe& action)
--- a/Source/Traffic/RetryAfter.cpp
+++ b/Source/Traffic/RetryAfter.cpp
@@ -20,7 +20,7 @@
 constexpr std::array<const char*, 3> DateFormats{ "%a, %d %b %Y %H:%M:%S GMT", "%a, %d-%b-%y %H:%M:%S GMT",
     "%a %b %d %H:%M:%S %Y" };
 
-Milliseconds spanOf(double seconds)
+Milliseconds delayOf(double seconds)
 {
     return std::min(MaxDelay, Milliseconds{ seconds * MillisecondsPerSecond });
 }
@@ -49,8 +49,8 @@
 
 std::chrono::sys_seconds sentAt(const HttpFields& fields)
 {
-    if (const auto told = parseDate(trimmed(valueOf(fields, "Date"))))
-        return *told;
+    if (const auto date = parseDate(trimmed(valueOf(fields, "Date"))))
+        return *date;
     return std::chrono::floor<std::chrono::seconds>(std::chrono::system_clock::now());
 }
 
@@ -60,12 +60,12 @@
 {
     const std::string_view text = trimmed(valueOf(fields, "Retry-After"));
     if (const auto seconds = parseUnsignedDecimal(text))
-        return spanOf(*seconds);
+        return delayOf(*seconds);
     const auto until = text.empty() ? std::nullopt : parseDate(text);
     if (!until)
         return std::nullopt;
-    const std::chrono::duration<double, std::milli> span = *until - sentAt(fields);
-    return Milliseconds{ std::max(0.0, span.count()) };
+    const std::chrono::duration<double, std::milli> delay = *until - sentAt(fields);
+    return Milliseconds{ std::max(0.0, delay.count()) };
 }
 
 }
--- a/Source/Traffic/TrafficDialect.h
+++ b/Source/Traffic/TrafficDialect.h
@@ -34,7 +34,7 @@
     virtual CallerFields readCaller(const HttpRequest& request) const = 0;
     /** Returns true for fields whose value changes when a request is repeated, such as its id. */
     virtual bool variesByAttempt(std::string_view field) const = 0;
-    virtual void writeAttempt(HttpRequest& request, const AttemptFields& words) const = 0;
+    virtual void writeAttempt(HttpRequest& request, const AttemptFields& fields) const = 0;
     virtual void writeProbe(HttpRequest& request, const std::string& backendServer) const = 0;
 
     /** Returns true for answer fields that the dialect defines, whether or not their value is used. */
--- a/Tests/Http/HttpListenerTest.cpp
+++ b/Tests/Http/HttpListenerTest.cpp
@@ -81,9 +81,9 @@
     void callOn(int handle)
     {
         // A connection that is not established is not counted as lost.
-        const timeval patience{ .tv_sec = 0, .tv_usec = 100000 };
-        setsockopt(handle, SOL_SOCKET, SO_SNDTIMEO, &patience, sizeof patience);
-        setsockopt(handle, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+        const timeval timeout{ .tv_sec = 0, .tv_usec = 100000 };
+        setsockopt(handle, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
+        setsockopt(handle, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
         sockaddr_in address{};
         address.sin_family = AF_INET;
         address.sin_port = htons(this->port);
@@ -221,18 +221,18 @@
         const std::uint16_t port = freePort();
         CHECK(!listener.listen({ .host = "127.0.0.1", .port = port }));
         listener.beginAccepting();
-        SequentialCallers hammer(port, threads);
+        SequentialCallers callers(port, threads);
         context.run_for(std::chrono::milliseconds(20));
         listener.closeAfterAnswers();
         listener.stopAccepting();
         context.restart();
         context.run_for(std::chrono::milliseconds(60));
-        hammer.finish();
+        callers.finish();
         context.restart();
         context.run_for(std::chrono::milliseconds(60));
-        hammer.stop();
-        answered += hammer.answered();
-        lost += hammer.lost();
+        callers.stop();
+        answered += callers.answered();
+        lost += callers.lost();
     }
     CHECK(answered > enough);
     LONGS_EQUAL(0, lost);
@@ -261,7 +261,7 @@
         const std::uint16_t port = freePort();
         CHECK(!listener.listen({ .host = "127.0.0.1", .port = port }));
         listener.beginAccepting();
-        ContinuousCallers rush(port, threads);
+        ContinuousCallers callers(port, threads);
         StopSequence stop({ .lead = lead, .bound = { 20000 } });
         const Milliseconds began = clock.now();
         stop.begin(began);
@@ -270,15 +270,15 @@
             takeStopStep(listener, stop.step());
             work = { .unfinished = workLeftFor(listener), .look = stop.look() };
             if (clock.now() - began >= callersComeFrom)
-                rush.begin();
+                callers.begin();
             if (clock.now() - began >= callersComeUntil)
-                rush.finish();
+                callers.finish();
             context.restart();
             context.run_for(lookInterval);
         }
-        rush.stop();
-        answered += rush.answered();
-        lost += rush.lost();
+        callers.stop();
+        answered += callers.answered();
+        lost += callers.lost();
     }
     CHECK(answered > enough);
     LONGS_EQUAL(0, lost);
--- a/Tests/Platform/KvFactTranslatorTest.cpp
+++ b/Tests/Platform/KvFactTranslatorTest.cpp
@@ -194,11 +194,11 @@
     std::mt19937 random(1);
     const std::string usual = Server;
     for (int round = 0; round < rounds; ++round) {
-        std::string spoilt = usual;
+        std::string corrupted = usual;
         const std::size_t changes = 1 + random() % 3;
         for (std::size_t change = 0; change < changes; ++change)
-            spoilt[random() % spoilt.size()] = static_cast<char>(random() % 256);
-        const Facts facts = this->translator.translate(item("servers/i-7", spoilt.c_str()));
+            corrupted[random() % corrupted.size()] = static_cast<char>(random() % 256);
+        const Facts facts = this->translator.translate(item("servers/i-7", corrupted.c_str()));
         LONGS_EQUAL(1, facts.backendServers.size() + facts.unusableBackendServers.size());
         CHECK(facts.backendServers.empty() != facts.findings.empty());
         for (const BackendServerRecord& record : facts.backendServers)
--- a/Tests/Platform/LoopbackInstance.cpp
+++ b/Tests/Platform/LoopbackInstance.cpp
@@ -98,9 +98,9 @@
     this->putItem("servers/" + id, "", true);
 }
 
-void LoopbackInstance::runFor(Milliseconds span)
+void LoopbackInstance::runFor(Milliseconds duration)
 {
-    const Milliseconds end = this->clock.now() + span;
+    const Milliseconds end = this->clock.now() + duration;
     do {
         this->context->restart();
         this->context->run_for(toDuration(Step));
--- a/Tests/Platform/LoopbackInstance.h
+++ b/Tests/Platform/LoopbackInstance.h
@@ -40,7 +40,7 @@
     /** Sends a request and waits for its answer for up to this long. */
     CallerAnswer call(Milliseconds patience);
     /** Runs the instance for this long. */
-    void runFor(Milliseconds span);
+    void runFor(Milliseconds duration);
     const Node& decisions() const { return this->node; }
     /** Returns the server's state as shown by ctl show-load; empty if the server is unknown. */
     std::string stateOf(const std::string& id) const;
--- a/Tests/Platform/NamedLimitsTest.cpp
+++ b/Tests/Platform/NamedLimitsTest.cpp
@@ -81,10 +81,10 @@
     }
 
     /** Sends requests one after another for this long; returns the number of successful answers. */
-    std::size_t callFor(Milliseconds span) const
+    std::size_t callFor(Milliseconds duration) const
     {
         std::size_t answered = 0;
-        const Milliseconds end = this->clock.now() + span;
+        const Milliseconds end = this->clock.now() + duration;
         while (this->clock.now() < end) {
             answered += this->instance->call().status == 200 ? 1 : 0;
             this->instance->runFor(BetweenCalls);
--- a/Tests/Traffic/BearerKeyTest.cpp
+++ b/Tests/Traffic/BearerKeyTest.cpp
@@ -88,11 +88,11 @@
 {
     for (const DialectForm& form : DialectForms) {
         const std::string& field = form.customerField;
-        std::string shouted = field;
-        for (char& letter : shouted)
+        std::string upperCase = field;
+        for (char& letter : upperCase)
             letter = static_cast<char>(std::toupper(static_cast<unsigned char>(letter)));
         const Fields sent{ { "Authorization", "Bearer k1" }, { "AUTHORIZATION", "Basic k1" }, { field, "other" },
-            { shouted, "another" }, { "Accept", "text/plain" } };
+            { upperCase, "another" }, { "Accept", "text/plain" } };
         for (const char* customer : { "acme", "" }) {
             HttpRequest request = requestWith(sent);
             form.dialect->writeAttempt(request,
--- a/Tests/Traffic/RequestDeskTest.cpp
+++ b/Tests/Traffic/RequestDeskTest.cpp
@@ -149,10 +149,10 @@
         return letters;
     }
 
-    void runFor(Milliseconds span)
+    void runFor(Milliseconds duration)
     {
         this->context.restart();
-        this->context.run_for(std::chrono::milliseconds(static_cast<int>(span.count)));
+        this->context.run_for(std::chrono::milliseconds(static_cast<int>(duration.count)));
     }
 
     void refuse(std::size_t arrival) const
@@ -326,8 +326,8 @@
 {
     this->configure();
     asio::ip::tcp::socket socket = this->connect();
-    const std::string hurried = "GET /X HTTP/1.1\r\nHost: x\r\nBurlreach-Deadline-Milliseconds: 1000\r\n\r\n";
-    asio::write(socket, asio::buffer(this->requestsTo("a") + hurried));
+    const std::string withDeadline = "GET /X HTTP/1.1\r\nHost: x\r\nBurlreach-Deadline-Milliseconds: 1000\r\n\r\n";
+    asio::write(socket, asio::buffer(this->requestsTo("a") + withDeadline));
     this->runFor({ 80 });
     this->refuse(0);
     this->runFor({ 40 });
--- a/Tests/Traffic/UnreadFieldsTest.cpp
+++ b/Tests/Traffic/UnreadFieldsTest.cpp
@@ -45,20 +45,20 @@
     for (const Case& item : Cases) {
         this->unread = {};
         const HttpResponse answer = answerWith(item.fields);
-        const auto told = this->unread.findNew(answer, this->dialect);
-        LONGS_EQUAL_TEXT(item.reported.size(), told.size(), item.name);
-        for (std::size_t index = 0; index < told.size(); ++index)
-            STRCMP_EQUAL_TEXT(item.reported[index], told[index].name.c_str(), item.name);
+        const auto reported = this->unread.findNew(answer, this->dialect);
+        LONGS_EQUAL_TEXT(item.reported.size(), reported.size(), item.name);
+        for (std::size_t index = 0; index < reported.size(); ++index)
+            STRCMP_EQUAL_TEXT(item.reported[index], reported[index].name.c_str(), item.name);
         LONGS_EQUAL_TEXT(0, this->unread.findNew(answer, this->dialect).size(), item.name);
     }
 }
 
 TEST(UnreadFields, AreReportedUpToALimit)
 {
-    std::size_t told = 0;
+    std::size_t reported = 0;
     for (int number = 0; number < 1000; ++number) {
         const std::string name = "Mood-" + std::to_string(number);
-        told += this->unread.findNew(answerWith({ name.c_str() }), this->dialect).size();
+        reported += this->unread.findNew(answerWith({ name.c_str() }), this->dialect).size();
     }
-    LONGS_EQUAL(32, told);
+    LONGS_EQUAL(32, reported);
 }
