--- a/Source/Http/HttpExchange.h
+++ b/Source/Http/HttpExchange.h
@@ -46,10 +46,9 @@
         bool isHeadRequest = false; // a HEAD request; its answer has no body
         Milliseconds connectTimeout{ 250 };
         Milliseconds timeout = Never; // from the start of writing to the end of the answer
-        bool isIdleTimeout = false; // the timeout starts anew whenever bytes are received
+        bool isIdleTimeout = false; // the timeout restarts whenever bytes are received
         std::size_t maxAnswerBytes = 67108864; // bytes of the body
-        /** Returns false for an answer to another request, which is then skipped. If empty, every answer is accepted.
-         */
+        /** Returns false for an answer to another request, which is then skipped. Empty: all answers are accepted. */
         std::function<bool(const HttpResponse&)> isAnswerToRequest;
         /**
          * Called once for the header of each answer, before its body is complete. Also called for answers that are
--- a/Source/Http/HttpSession.h
+++ b/Source/Http/HttpSession.h
@@ -89,7 +89,7 @@
     void start();
     /** Answers a request. The answer is written once the answers to all earlier requests are. */
     void answer(HttpRequestNumber request, HttpResponse response);
-    /** From now on, no request starts while another is unfinished, and the last answer closes the connection. */
+    /** From now on, no request starts while another is unfinished; the last answer closes the connection. */
     void closeAfterAnswer() { this->closesAfterNewest = true; }
     void close();
     /** Closes an idle connection, and refuses a request whose header is incomplete, once its time limit has passed. */
@@ -126,7 +126,7 @@
     void sendContinueIfExpected();
     void writeReady();
     void written(const asio::error_code& error);
-    /** Closes the connection, and tells the handler if a request has no answer. */
+    /** Closes the connection, and calls callerGone() of the handler if a request has no answer. */
     void abandon();
 
     asio::ip::tcp::socket socket;
--- a/Source/Peers/PeerLink.h
+++ b/Source/Peers/PeerLink.h
@@ -50,8 +50,7 @@
         Milliseconds deadline;
     };
 
-    /** Starts an attempt to connect, unless one is in progress or the last one started less than reconnectInterval ago.
-     */
+    /** Starts an attempt to connect, unless one is in progress or reconnectInterval has not passed since the last. */
     void connect();
     /** Closes the socket if the attempt to connect exceeds its timeout. */
     void startConnectTimeout(const std::shared_ptr<asio::ip::tcp::socket>& socket);
--- a/Source/StoreClient/HttpStoreClient.cpp
+++ b/Source/StoreClient/HttpStoreClient.cpp
@@ -35,7 +35,7 @@
     options.request = encode(std::move(message));
     options.connectTimeout = ConnectTimeout;
     options.timeout = request.timeout;
-    // A large answer may take long as long as bytes arrive: repeating the call would load a busy link even more.
+    // A large answer may take any time while bytes arrive: repeating the call would load a busy link even more.
     options.isIdleTimeout = true;
     const auto exchange = std::make_shared<HttpExchange>(*this->context, std::move(options),
         [this, request](HttpExchangeEnd end) { this->callEnded(request, std::move(end)); });
--- a/Source/Traffic/BearerKey.cpp
+++ b/Source/Traffic/BearerKey.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::string_view Scheme = "Bearer";
-/** In characters. Longer keys are rejected unhashed: hashing happens before anything is known about the sender. */
+/** In bytes. Longer keys are rejected: every key is hashed before anything is known about its sender. */
 constexpr std::size_t MaxKeyLength = 4096;
 constexpr std::string_view KeyPunctuation = "-._~+/=";
 
--- a/Source/Traffic/StableFields.cpp
+++ b/Source/Traffic/StableFields.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** Host is already part of the route; clients usually set the other fields anew for each attempt. */
+/** Host is already part of the route; clients usually set the other fields to new values in each attempt. */
 constexpr std::array<std::string_view, 5> IgnoredFields{ "host", "date", "traceparent", "tracestate", "x-request-id" };
 
 std::string lowerCase(std::string_view text)
