--- a/Source/StoreClient/OwnStoreWire.h
+++ b/Source/StoreClient/OwnStoreWire.h
@@ -4,7 +4,7 @@
 
 namespace burlreach {
 
-/** burlreach's own form of the store's calls (docs/OPERATIONS.md): JSON bodies posted to /store/v1/. */
+/** The store protocol of burlreach itself (docs/OPERATIONS.md): calls are JSON bodies posted to /store/v1/. */
 class OwnStoreWire final : public StoreWire {
 public:
     HttpRequest encode(const StoreRequest& request) const override;
