--- /dev/null
+++ b/Source/Http/AnswerQueue.cpp
@@ -0,0 +1,44 @@
+#include "Http/AnswerQueue.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace burlreach {
+
+HttpRequestNumber AnswerQueue::addRequest(const AnswerFormat& form)
+{
+    this->requests.push_back({ .request = ++this->lastNumber, .form = form, .response = std::nullopt });
+    return this->lastNumber;
+}
+
+bool AnswerQueue::setAnswer(HttpRequestNumber request, HttpResponse response)
+{
+    const auto pending = std::find_if(this->requests.begin(), this->requests.end(),
+        [request](const PendingRequest& item) { return item.request == request; });
+    if (pending == this->requests.end() || pending->response)
+        return false;
+    pending->response = std::move(response);
+    return true;
+}
+
+bool AnswerQueue::hasUnanswered() const
+{
+    return std::any_of(
+        this->requests.begin(), this->requests.end(), [](const PendingRequest& pending) { return !pending.response; });
+}
+
+ReadyAnswers AnswerQueue::takeReady(bool endsConnection)
+{
+    ReadyAnswers ready;
+    while (!this->requests.empty() && this->requests.front().response) {
+        PendingRequest pending = std::move(this->requests.front());
+        this->requests.pop_front();
+        ready.isLast = this->requests.empty() && (endsConnection || !pending.form.keepsConnection);
+        pending.response->version(pending.form.version);
+        pending.response->keep_alive(!ready.isLast);
+        ready.bytes += encode(std::move(*pending.response), pending.form.isHeadRequest);
+    }
+    return ready;
+}
+
+}
--- a/Source/Http/HttpExchange.h
+++ b/Source/Http/HttpExchange.h
@@ -17,9 +17,9 @@
 namespace burlreach {
 
 enum class HttpExchangeResult {
-    Answered, // a whole answer
+    Answered, // a complete answer was received
     NotSent, // no byte of the request can have reached the server
-    Broken, // the connection ended before a whole answer, or what came is no answer
+    Broken, // the connection ended before the answer was complete, or the bytes received are no valid answer
     TimedOut
 };
 
@@ -27,45 +27,47 @@
 struct HttpExchangeEnd {
     HttpExchangeResult result = HttpExchangeResult::Broken;
     std::optional<HttpResponse> response;
-    std::shared_ptr<HttpConnection> connection; // to be kept for the next exchange; null: it was closed
+    std::shared_ptr<HttpConnection> connection; // may be reused; null: it was closed
 };
 
 /**
- * One request to a server and its whole answer, on one connection.
+ * Sends one request to a server and receives the whole answer, on one
+ * connection.
  *
- * The connection is kept only after a clean exchange: the request was written
- * whole, the answer was framed, and nothing came behind it.
+ * The connection may be reused only if the request was written whole, the
+ * answer had a length or chunks, no answer to another request was skipped and
+ * no bytes followed the answer.
  */
 class HttpExchange : public std::enable_shared_from_this<HttpExchange> {
 public:
     struct Options {
         NetworkAddress address;
-        std::string request; // its bytes
-        bool isHead = false;
+        std::string request; // encoded
+        bool isHeadRequest = false; // a HEAD request; its answer has no body
         Milliseconds connectTimeout{ 250 };
-        Milliseconds timeout = Never; // for the whole exchange
-        bool isTimeoutOfSilence = false; // the time-out begins anew with each byte of the answer
-        std::size_t longestAnswer = 67108864;
-        /** False for an answer that belongs to another request; it is skipped. Empty: all are taken. */
-        std::function<bool(const HttpResponse&)> isOwnAnswer;
+        Milliseconds timeout = Never; // from the start of writing to the end of the answer
+        bool isIdleTimeout = false; // the timeout restarts whenever bytes are received
+        std::size_t maxAnswerBytes = 67108864; // bytes of the body
+        /** Returns false for an answer to another request, which is then skipped. Empty: all answers are accepted. */
+        std::function<bool(const HttpResponse&)> isAnswerToRequest;
         /**
-         * Called once for each answer when its header is there, also for one that is skipped or breaks off later. The
-         * body has not come by then. Empty: nobody asks.
+         * Called once for the header of each answer, before its body is complete. Also called for answers that are
+         * skipped or break off later. May be empty.
          */
-        std::function<void(const HttpResponse&)> headerRead;
+        std::function<void(const HttpResponse&)> headerReceived;
     };
     using Completion = std::function<void(HttpExchangeEnd)>;
 
     HttpExchange(asio::io_context& context, Options options, Completion completion);
 
-    /** Goes over this connection, or over a new one when it is null. */
+    /** Starts the exchange on this connection, or on a new one if it is null. */
     void start(std::shared_ptr<HttpConnection> kept);
     /** Closes the connection; the completion is not called. */
     void cancel();
-    /** False while the connection is being made: no byte of the request has left. */
-    bool hasBegunWriting() const { return this->writingBegun; }
-    /** Ends it as not sent; only before the writing has begun. */
-    void endUnsent();
+    /** Returns false while the connection is being made, when no byte of the request was sent. */
+    bool hasBegunWriting() const { return this->isWritingBegun; }
+    /** Ends the exchange with the result NotSent; has no effect once writing has begun. */
+    void abortUnsent();
 
 private:
     using Parser = boost::beast::http::response_parser<boost::beast::http::string_body>;
@@ -75,31 +77,31 @@
     void read();
     void received(const asio::error_code& error, std::size_t size);
     void parse();
-    bool finishUnframed();
-    void tellHeader();
-    void answerParsed();
-    void newParser();
-    void limitTime(Milliseconds span, HttpExchangeResult result);
+    bool finishAnswerWithoutLength();
+    void reportHeader();
+    void answerComplete();
+    void resetParser();
+    void startTimeout(Milliseconds duration, HttpExchangeResult result);
     void finish(HttpExchangeResult result, std::optional<HttpResponse> response);
-    bool mayKeep(const HttpResponse& response) const;
+    bool mayReuseConnection(const HttpResponse& response) const;
     void closeConnection();
 
     Options options;
     Completion completion;
     asio::io_context* context;
     Timer timer;
-    unsigned limitNumber = 0; // the limit in force; earlier ones say nothing
+    unsigned timeoutNumber = 0; // identifies the timeout in force; expiries of earlier ones are ignored
     std::shared_ptr<HttpConnection> connection;
     std::optional<Parser> parser;
     static constexpr std::size_t ReadSize = 8192;
     std::array<char, ReadSize> chunk{};
     std::string input; // read, not yet parsed
-    bool writingBegun = false;
+    bool isWritingBegun = false;
     bool isWritten = false;
     bool isReused = false;
-    bool isSkipping = false; // an answer of another request came before
-    bool isHeaderTold = false; // of the answer that is being read
-    bool isOver = false;
+    bool hasSkippedAnswer = false; // an answer to another request was skipped
+    bool isHeaderReported = false; // headerReceived was called for the answer that is being read
+    bool isFinished = false;
 };
 
 }
--- a/Source/Peers/PeerLink.h
+++ b/Source/Peers/PeerLink.h
@@ -15,41 +15,50 @@
 namespace burlreach {
 
 /**
- * The way to one other instance. Connects when there is something to send and
- * closes when idle. Every message has a deadline: what cannot be delivered in
- * time is dropped and counted, and its sender asks again.
+ * Sends messages to one other instance. Connects when there is something to
+ * send, closes the connection when idle, and queues messages while there is no
+ * connection. A message that cannot be sent before its deadline is dropped and
+ * counted; whoever needs its answer must send it again.
  */
 class PeerLink : public std::enable_shared_from_this<PeerLink> {
 public:
     struct Options {
-        Milliseconds messageDeadline{ 2000 };
-        Milliseconds reconnectGap{ 200 };
-        /** A machine that is dark says nothing, and the system would try again only after a second. */
+        Milliseconds messageTimeout{ 2000 };
+        Milliseconds reconnectInterval{ 200 }; // shortest time from one attempt to connect to the next
+        /** A computer that is powered off does not refuse connections, and TCP repeats its SYN only after 1 s. */
         Milliseconds connectTimeout{ 250 };
-        Milliseconds idle{ 15000 };
-        std::size_t mostWaiting = 512;
+        Milliseconds idleTimeout{ 15000 }; // without a message to send; then the connection is closed
+        std::size_t maxQueuedMessages = 512; // messages; the oldest one is dropped when there are more
     };
 
     PeerLink(asio::io_context& context, const Clock& clock, NetworkAddress address, Options options,
         TrafficMetrics& metrics);
 
+    /** Sends a message, or queues it until there is a connection. */
     void send(std::string message);
-    /** Drops what is late and closes what is idle; false when it can be forgotten. */
-    bool tend();
+    /**
+     * Drops queued messages whose deadline has passed, and closes a connection that is idle or whose messages are not
+     * acknowledged in time. Returns false if the link is idle and can be removed.
+     */
+    bool enforceTimeLimits();
     void close();
 
 private:
-    struct Waiting {
+    /** A queued message. */
+    struct QueuedMessage {
         std::string message;
         Milliseconds deadline;
     };
 
+    /** Starts an attempt to connect, unless one is in progress or reconnectInterval has not passed since the last. */
     void connect();
-    /** Ends a connecting that takes too long, and begins another one while there is something to send. */
-    void watchConnecting(const std::shared_ptr<asio::ip::tcp::socket>& socket);
-    void connectAgain();
+    /** Closes the socket if the attempt to connect exceeds its timeout. */
+    void startConnectTimeout(const std::shared_ptr<asio::ip::tcp::socket>& socket);
+    /** Schedules another attempt to connect if messages are queued. */
+    void scheduleReconnect();
     void connected();
-    void drop(std::size_t count);
+    /** Drops the oldest queued messages. */
+    void dropOldest(std::size_t count);
 
     asio::io_context* context;
     const Clock* clock;
@@ -57,12 +66,12 @@
     Options options;
     TrafficMetrics* metrics;
     std::shared_ptr<PeerClientSession> session;
-    std::deque<Waiting> waiting;
+    std::deque<QueuedMessage> queue;
     Timer connectTimer;
     bool isConnecting = false;
-    Milliseconds nextConnect = LongAgo;
-    Milliseconds lastSend;
-    Milliseconds lastAnswered;
+    Milliseconds nextConnectAt = LongAgo; // earliest time of the next attempt to connect
+    Milliseconds lastSentAt;
+    Milliseconds lastAcknowledgedAt; // last time at which no message was unacknowledged
 };
 
 }
--- a/Source/StoreClient/HttpStoreClient.h
+++ b/Source/StoreClient/HttpStoreClient.h
@@ -16,32 +16,35 @@
 
 namespace burlreach {
 
-/** How many calls of each kind ended how. */
+/** The number of calls by operation and status. */
 using StoreCallCounts = std::array<std::array<std::atomic<std::uint64_t>, StoreStatusCount>, StoreOperationCount>;
 
 /**
- * Calls the store over HTTP, on the control thread. A connection on which an
- * answer did not come is never used again.
+ * Calls the store over HTTP, on the control thread. A connection is reused only
+ * after a readable answer that was no refusal.
  */
 class HttpStoreClient {
 public:
     HttpStoreClient(asio::io_context& context, const NetworkAddress& address, const StoreWire& wire, const Clock& clock,
         EventSink& sink);
 
+    /** Starts a call; its result is posted as StoreAnswered. */
     void ask(const StoreRequest& request);
-    void tend() { this->connections.tend(); }
+    /** Closes expired idle connections. */
+    void tend() { this->connections.closeExpired(); }
+    /** Cancels all calls; no further results are posted. */
     void stop();
     const StoreCallCounts& counts() const { return this->callCounts; }
 
 private:
-    void ended(const StoreRequest& request, HttpExchangeEnd end);
+    void callEnded(const StoreRequest& request, HttpExchangeEnd end);
 
     asio::io_context* context;
     NetworkAddress address;
     const StoreWire* wire;
     EventSink* sink;
     HttpConnectionPool connections;
-    std::unordered_map<StoreCallNumber, std::shared_ptr<HttpExchange>> underWay;
+    std::unordered_map<StoreCallNumber, std::shared_ptr<HttpExchange>> callsInFlight;
     StoreCallCounts callCounts{};
 };
 
--- a/Source/Traffic/LoadText.cpp
+++ b/Source/Traffic/FieldValues.cpp
@@ -1,4 +1,4 @@
-#include "Traffic/LoadText.h"
+#include "Traffic/FieldValues.h"
 
 #include <algorithm>
 #include <array>
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr double MillisecondsPerSecond = 1000;
-/** No span in a header is longer; keeps numbers in range. */
-constexpr double LongestMilliseconds = 1e9;
+/** Upper limit of a duration in a header field; keeps the numbers in range. */
+constexpr double MaxMilliseconds = 1e9;
 
 std::string_view trimmed(std::string_view text)
 {
@@ -58,21 +58,21 @@
     const auto number = parseNumber<std::uint64_t>(trimmed(text));
     if (!number)
         return std::nullopt;
-    return Milliseconds{ std::min(static_cast<double>(*number), LongestMilliseconds) };
+    return Milliseconds{ std::min(static_cast<double>(*number), MaxMilliseconds) };
 }
 
-std::string millisecondsText(Milliseconds span)
+std::string formatMilliseconds(Milliseconds duration)
 {
-    const double bounded = std::clamp(std::floor(span.count), 1.0, LongestMilliseconds);
+    const double bounded = std::clamp(std::floor(duration.count), 1.0, MaxMilliseconds);
     return std::to_string(static_cast<std::uint64_t>(bounded));
 }
 
-std::string secondsText(Milliseconds span)
+std::string formatSeconds(Milliseconds duration)
 {
     constexpr int decimals = 3;
     constexpr std::size_t longest = 32;
     std::array<char, longest> digits{};
-    const double seconds = std::clamp(span.count, 0.0, LongestMilliseconds) / MillisecondsPerSecond;
+    const double seconds = std::clamp(duration.count, 0.0, MaxMilliseconds) / MillisecondsPerSecond;
     const auto written = std::to_chars(digits.begin(), digits.end(), seconds, std::chars_format::fixed, decimals);
     return { digits.begin(), written.ptr };
 }
--- a/Tests/Http/AnswerOrderTest.cpp
+++ b/Tests/Http/AnswerQueueTest.cpp
@@ -1,4 +1,4 @@
-#include "Http/AnswerOrder.h"
+#include "Http/AnswerQueue.h"
 
 #include <string>
 #include <vector>
@@ -10,14 +10,16 @@
 
 namespace {
 
-/** Something that happens to the answers of a connection. */
 struct Step {
-    char what; // b: a request begins, c: one after which the caller wants to close, p: its answer comes, e: as p, the
-               // connection is to end
+    /**
+     * b: a request begins, c: a request begins that asks to close the connection, p: the request is answered, e: the
+     * request is answered and the connection is to be closed.
+     */
+    char what;
     HttpRequestNumber request;
 };
 
-/** Steps, and the bodies that may then be written, in their order; '|' stands for the end of the connection. */
+/** Steps, and the bodies that are then written, in this order; '|' stands for the end of the connection. */
 struct Case {
     const char* name;
     std::vector<Step> steps;
@@ -30,13 +32,14 @@
     { "in order", { { 'b', 1 }, { 'b', 2 }, { 'p', 1 }, { 'p', 2 } }, "12", false },
     { "the second is ready first", { { 'b', 1 }, { 'b', 2 }, { 'p', 2 }, { 'p', 1 } }, "12", false },
     { "the first is missing", { { 'b', 1 }, { 'b', 2 }, { 'b', 3 }, { 'p', 2 }, { 'p', 3 } }, "", true },
-    { "a gap", { { 'b', 1 }, { 'b', 2 }, { 'b', 3 }, { 'p', 1 }, { 'p', 3 } }, "1", true },
+    { "the second is missing", { { 'b', 1 }, { 'b', 2 }, { 'b', 3 }, { 'p', 1 }, { 'p', 3 } }, "1", true },
     { "answered twice", { { 'b', 1 }, { 'p', 1 }, { 'p', 1 } }, "1", false },
     { "never begun", { { 'b', 1 }, { 'p', 2 } }, "", true },
-    { "the caller closes after the second", { { 'b', 1 }, { 'c', 2 }, { 'p', 2 }, { 'p', 1 } }, "12|", false },
-    { "the end waits for the newest", { { 'b', 1 }, { 'b', 2 }, { 'e', 1 }, { 'e', 2 } }, "12|", false },
-    { "the end is asked for between", { { 'b', 1 }, { 'b', 2 }, { 'p', 2 }, { 'e', 1 } }, "12|", false },
-    { "no end before a request without an answer", { { 'b', 1 }, { 'b', 2 }, { 'e', 1 } }, "1", true },
+    { "the caller asks to close after the second", { { 'b', 1 }, { 'c', 2 }, { 'p', 2 }, { 'p', 1 } }, "12|", false },
+    { "the close waits for the newest", { { 'b', 1 }, { 'b', 2 }, { 'e', 1 }, { 'e', 2 } }, "12|", false },
+    { "the close is requested while the newest has its answer", { { 'b', 1 }, { 'b', 2 }, { 'p', 2 }, { 'e', 1 } },
+        "12|", false },
+    { "no close before an unanswered request", { { 'b', 1 }, { 'b', 2 }, { 'e', 1 } }, "1", true },
 };
 
 HttpResponse responseOf(HttpRequestNumber request)
@@ -46,7 +49,7 @@
     return response;
 }
 
-/** The digits of the bodies, and whether each says that the connection goes on. */
+/** The digits of the bodies, followed by '|' if the connection ends. Checks that Connection: close agrees with that. */
 std::string summaryOf(const ReadyAnswers& ready)
 {
     std::string summary;
@@ -58,16 +61,16 @@
     return summary + (ready.isLast ? "|" : "");
 }
 
-std::string play(AnswerOrder& order, const std::vector<Step>& steps)
+std::string play(AnswerQueue& order, const std::vector<Step>& steps)
 {
     std::string written;
     for (const Step& step : steps) {
         if (step.what == 'b' || step.what == 'c') {
-            LONGS_EQUAL(step.request, order.begin({ .keepsConnection = step.what == 'b' }));
-            CHECK_EQUAL(step.what == 'b', order.mayBeFollowed());
+            LONGS_EQUAL(step.request, order.addRequest({ .keepsConnection = step.what == 'b' }));
+            CHECK_EQUAL(step.what == 'b', order.mayReadNext());
             continue;
         }
-        order.put(step.request, responseOf(step.request));
+        order.setAnswer(step.request, responseOf(step.request));
         written += summaryOf(order.takeReady(step.what == 'e'));
     }
     return written;
@@ -75,23 +78,23 @@
 
 }
 
-TEST_GROUP(AnswerOrder){};
+TEST_GROUP(AnswerQueue){};
 
-TEST(AnswerOrder, AnswersGoOutInTheOrderOfTheRequests)
+TEST(AnswerQueue, TakesAnswersInTheOrderOfTheRequests)
 {
     for (const Case& item : Cases) {
-        AnswerOrder order;
+        AnswerQueue order;
         STRCMP_EQUAL_TEXT(item.written, play(order, item.steps).c_str(), item.name);
         CHECK_EQUAL_TEXT(item.hasUnanswered, order.hasUnanswered(), item.name);
         CHECK_EQUAL_TEXT(!item.hasUnanswered, order.isEmpty(), item.name);
     }
 }
 
-TEST(AnswerOrder, AnAnswerToHeadHasNoBody)
+TEST(AnswerQueue, AnAnswerToHeadHasNoBody)
 {
-    AnswerOrder order;
-    order.begin({ .isHead = true });
-    CHECK(order.put(1, responseOf(1)));
+    AnswerQueue order;
+    order.addRequest({ .isHeadRequest = true });
+    CHECK(order.setAnswer(1, responseOf(1)));
     const ReadyAnswers ready = order.takeReady(false);
     CHECK(ready.bytes.find("Content-Length: 5") != std::string::npos);
     CHECK(ready.bytes.find("body") == std::string::npos);
--- a/Tests/Http/HttpExchangeTest.cpp
+++ b/Tests/Http/HttpExchangeTest.cpp
@@ -17,12 +17,12 @@
 
 namespace {
 
-/** What a server sends as soon as it has read a request, and how it goes on. */
+/** What a server sends as soon as it has read a request, and what it does afterwards. */
 struct Script {
     std::string bytes;
     bool closes = false;
     bool resets = false;
-    std::chrono::milliseconds afterEachByte{ 0 }; // a pause
+    std::chrono::milliseconds afterEachByte{ 0 }; // pause after each byte that is sent
 };
 
 /** Accepts one connection and follows its script. */
@@ -53,11 +53,11 @@
         if (this->script.resets)
             socket.set_option(asio::socket_base::linger(true, 0), ignored);
         if (this->script.closes || this->script.resets) {
-            // The destructor would undo the linger option.
+            // Closed here because the socket's destructor would undo the linger option.
             socket.close(ignored);
             return;
         }
-        // Until the other side closes.
+        // Wait until the other side closes the connection.
         socket.read_some(asio::buffer(buffer), ignored);
     }
 
@@ -96,17 +96,18 @@
 constexpr HttpExchangeResult Broken = HttpExchangeResult::Broken;
 
 const std::vector<Case> Cases{
-    { "a whole answer", { Ok }, Answered, "hi", true },
+    { "a complete answer", { Ok }, Answered, "hi", true },
     { "in chunks",
         { "HTTP/1.1 200 OK\r\nRequest-Id: r\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nh\r\n1\r\ni\r\n0\r\n\r\n" },
         Answered, "hi", true },
-    { "that closes", { "HTTP/1.1 200 OK\r\nRequest-Id: r\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi" },
-        Answered, "hi", false },
-    { "with bytes behind it", { Ok + "garbage" }, Answered, "hi", false },
-    { "with a second answer behind it", { Ok + Ok }, Answered, "hi", false },
-    { "behind an answer of another request", { Foreign + Ok }, Answered, "hi", false },
-    { "behind an interim one", { "HTTP/1.1 100 Continue\r\n\r\n" + Ok }, Answered, "hi", true },
-    { "without a length, ended in order", { Unframed, true, false }, Answered, "hi", false },
+    { "with Connection: close",
+        { "HTTP/1.1 200 OK\r\nRequest-Id: r\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi" }, Answered, "hi",
+        false },
+    { "followed by other bytes", { Ok + "garbage" }, Answered, "hi", false },
+    { "followed by a second answer", { Ok + Ok }, Answered, "hi", false },
+    { "after an answer to another request", { Foreign + Ok }, Answered, "hi", false },
+    { "after an interim answer", { "HTTP/1.1 100 Continue\r\n\r\n" + Ok }, Answered, "hi", true },
+    { "without a length, orderly close", { Unframed, true, false }, Answered, "hi", false },
     { "without a length, reset", { Unframed, false, true }, Broken, "", false },
     { "cut in its body", { "HTTP/1.1 200 OK\r\nRequest-Id: r\r\nContent-Length: 9\r\n\r\nhi", true, false }, Broken, "",
         false },
@@ -114,10 +115,10 @@
         { "HTTP/1.1 200 OK\r\nRequest-Id: r\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", true, false }, Broken,
         "", false },
     { "cut in its header", { "HTTP/1.1 200 OK\r\nRequ", true, false }, Broken, "", false },
-    { "closed without a word", { "", true, false }, Broken, "", false },
-    { "no HTTP at all", { "\x01\x02\x03 not an answer\r\n\r\n" }, Broken, "", false },
-    { "only one of another request", { Foreign, true, false }, Broken, "", false },
-    { "silence", { "" }, HttpExchangeResult::TimedOut, "", false },
+    { "closed without an answer", { "", true, false }, Broken, "", false },
+    { "bytes that are not HTTP", { "\x01\x02\x03 not an answer\r\n\r\n" }, Broken, "", false },
+    { "only an answer to another request", { Foreign, true, false }, Broken, "", false },
+    { "no answer", { "" }, HttpExchangeResult::TimedOut, "", false },
 };
 
 bool isOwn(const HttpResponse& response)
@@ -129,7 +130,7 @@
 
 TEST_GROUP(HttpExchange){};
 
-TEST(HttpExchange, KeepsOnlyCleanConnectionsAndPassesOnlyWholeAnswers)
+TEST(HttpExchange, ReturnsOnlyCompleteAnswersAndReusableConnections)
 {
     for (const Case& item : Cases) {
         const ScriptedServer server(item.script);
@@ -141,7 +142,7 @@
             HttpExchange::Options{ .address = server.address(),
                 .request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n",
                 .timeout = { 300 },
-                .isOwnAnswer = &isOwn },
+                .isAnswerToRequest = &isOwn },
             [&](HttpExchangeEnd end) {
                 result = end.result;
                 body = end.response ? end.response->body() : "";
@@ -155,7 +156,7 @@
     }
 }
 
-TEST(HttpExchange, NobodyThereIsAProofThatNothingWasSent)
+TEST(HttpExchange, ARefusedConnectionMeansNotSent)
 {
     asio::io_context context;
     asio::ip::tcp::acceptor closed(context, asio::ip::tcp::endpoint(asio::ip::address_v4::loopback(), 0));
@@ -170,9 +171,9 @@
     CHECK(result == HttpExchangeResult::NotSent);
 }
 
-TEST(HttpExchange, AConnectTimeoutThatIsDueTogetherWithTheConnectionEndsNothing)
+TEST(HttpExchange, IgnoresAConnectTimeoutThatIsDueTogetherWithTheConnection)
 {
-    // A busy process finds both in one look at its events.
+    // In a busy process both events can be ready in the same poll.
     const ScriptedServer server({ Ok });
     asio::io_context context;
     HttpExchangeResult result = HttpExchangeResult::Broken;
@@ -181,7 +182,7 @@
             .request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n",
             .connectTimeout = { 10 },
             .timeout = { 2000 },
-            .isOwnAnswer = &isOwn },
+            .isAnswerToRequest = &isOwn },
         [&](const HttpExchangeEnd& end) { result = end.result; });
     asio::post(context, [&] {
         exchange->start(nullptr);
@@ -191,8 +192,8 @@
     CHECK(result == HttpExchangeResult::Answered);
 }
 
-// A large answer over a busy link: its bytes come for longer than any silence that is borne.
-TEST(HttpExchange, ATimeoutOfSilenceBeginsAnewWithEachByte)
+// A large answer over a busy link may take longer than the timeout while bytes keep arriving.
+TEST(HttpExchange, AnIdleTimeoutRestartsWithEachByte)
 {
     for (const bool isOfSilence : { true, false }) {
         // 55 bytes, 10 ms each.
@@ -203,7 +204,7 @@
             HttpExchange::Options{ .address = server.address(),
                 .request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n",
                 .timeout = { 250 },
-                .isTimeoutOfSilence = isOfSilence },
+                .isIdleTimeout = isOfSilence },
             [&](const HttpExchangeEnd& end) { result = end.result; });
         exchange->start(nullptr);
         context.run();
@@ -211,7 +212,8 @@
     }
 }
 
-TEST(HttpExchange, AReusedConnectionThatClosesUnderTheRequestIsNoProofOfAnything)
+// The server may have run the request before it closed the connection.
+TEST(HttpExchange, AReusedConnectionThatClosesMeansBroken)
 {
     const ScriptedServer server({ "", true, false });
     asio::io_context context;
@@ -227,7 +229,7 @@
     CHECK(result == HttpExchangeResult::Broken);
 }
 
-TEST(HttpExchange, ACancelledExchangeSaysNothing)
+TEST(HttpExchange, ACancelledExchangeDoesNotComplete)
 {
     const ScriptedServer server({ "" });
     asio::io_context context;
@@ -242,7 +244,7 @@
     CHECK_FALSE(wasCalled);
 }
 
-TEST(HttpExchange, AConnectionOnWhichSomethingCameIsNotGivenOut)
+TEST(HttpExchange, ThePoolSkipsConnectionsThatReceivedBytes)
 {
     const SteadyClock clock;
     asio::io_context context;
@@ -253,18 +255,19 @@
         asio::ip::tcp::socket far = acceptor.accept();
         near.non_blocking(true);
         HttpConnectionPool pool({}, clock);
-        pool.give("s", std::make_shared<HttpConnection>(std::move(near)));
+        pool.add("s", std::make_shared<HttpConnection>(std::move(near)));
         LONGS_EQUAL(1, pool.size());
         if (sends) {
             asio::write(far, asio::buffer(std::string("late")));
             std::this_thread::sleep_for(std::chrono::milliseconds(20));
         }
         CHECK((pool.take("s", Never) != nullptr) == !sends);
-        CHECK_TEXT(!pool.take("s", Never), "given out once");
+        CHECK_TEXT(!pool.take("s", Never), "a connection is taken only once");
     }
 }
 
-TEST(HttpExchange, ARestedConnectionIsNotGivenToARequestThatMayRunOnce)
+// A request that must not run twice gets no connection that the server may be closing.
+TEST(HttpExchange, ThePoolRespectsTheLongestIdleTime)
 {
     const SteadyClock clock;
     asio::io_context context;
@@ -274,7 +277,7 @@
     const asio::ip::tcp::socket far = acceptor.accept();
     near.non_blocking(true);
     HttpConnectionPool pool({}, clock);
-    pool.give("s", std::make_shared<HttpConnection>(std::move(near)));
+    pool.add("s", std::make_shared<HttpConnection>(std::move(near)));
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
     CHECK(!pool.take("s", { 5 }));
     CHECK(pool.take("s", Never) != nullptr);
--- a/Tests/Http/HttpListenerTest.cpp
+++ b/Tests/Http/HttpListenerTest.cpp
@@ -32,21 +32,21 @@
     void sessionRefused() override { }
 };
 
-/** Callers that make one connection after the other and send a request on each. */
-class Hammer {
+/** Callers that make one connection after another, send a request on each and wait for its answer. */
+class SequentialCallers {
 public:
-    Hammer(std::uint16_t givenPort, std::size_t threads)
+    SequentialCallers(std::uint16_t givenPort, std::size_t threads)
         : port(givenPort)
     {
         for (std::size_t index = 0; index < threads; ++index)
             this->threads.emplace_back([this] { this->run(); });
     }
 
-    ~Hammer() { this->stop(); }
-    Hammer(const Hammer&) = delete;
-    Hammer& operator=(const Hammer&) = delete;
+    ~SequentialCallers() { this->stop(); }
+    SequentialCallers(const SequentialCallers&) = delete;
+    SequentialCallers& operator=(const SequentialCallers&) = delete;
 
-    /** No further calls; those under way go on. */
+    /** Starts no further calls; those in progress continue. */
     void finish() { this->isOver = true; }
 
     void stop()
@@ -68,7 +68,7 @@
             this->call();
     }
 
-    /** Allocates nothing: the runner's leak check is for one thread. */
+    /** Allocates nothing, because the test runner's leak check supports one thread only. */
     void call()
     {
         const int handle = socket(AF_INET, SOCK_STREAM, 0);
@@ -80,10 +80,10 @@
 
     void callOn(int handle)
     {
-        // A connection that does not come up is no loss.
-        const timeval patience{ .tv_sec = 0, .tv_usec = 100000 };
-        setsockopt(handle, SOL_SOCKET, SO_SNDTIMEO, &patience, sizeof patience);
-        setsockopt(handle, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+        // A connection that is not established is not counted as lost.
+        const timeval timeout{ .tv_sec = 0, .tv_usec = 100000 };
+        setsockopt(handle, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
+        setsockopt(handle, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
         sockaddr_in address{};
         address.sin_family = AF_INET;
         address.sin_port = htons(this->port);
@@ -105,29 +105,29 @@
 };
 
 /**
- * Callers that connect and send without waiting for an answer: they never stand
- * still while the listener looks at those that wait.
+ * Callers that connect and send without waiting for answers, so that new
+ * connections arrive all the time while the listener stops.
  */
-class Rush {
+class ContinuousCallers {
 public:
-    Rush(std::uint16_t givenPort, std::size_t threads)
+    ContinuousCallers(std::uint16_t givenPort, std::size_t threads)
         : port(givenPort)
     {
         for (std::size_t index = 0; index < threads; ++index)
             this->threads.emplace_back([this] { this->run(); });
     }
 
-    ~Rush() { this->stop(); }
-    Rush(const Rush&) = delete;
-    Rush& operator=(const Rush&) = delete;
+    ~ContinuousCallers() { this->stop(); }
+    ContinuousCallers(const ContinuousCallers&) = delete;
+    ContinuousCallers& operator=(const ContinuousCallers&) = delete;
 
     void begin() { this->isBegun = true; }
-    /** No further callers; those that have sent wait for their answers. */
-    void cease() { this->isOver = true; }
+    /** Starts no further connections; callers that have sent a request wait for its answer. */
+    void finish() { this->isOver = true; }
 
     void stop()
     {
-        this->cease();
+        this->finish();
         for (std::thread& thread : this->threads) {
             if (thread.joinable())
                 thread.join();
@@ -135,19 +135,19 @@
     }
 
     std::size_t answered() const { return this->answers; }
-    /** Connections that came up and ended, or said nothing for the patience, without an answer. */
+    /** The number of established connections that were closed or stayed silent for 5 s without an answer. */
     std::size_t lost() const { return this->losses; }
 
 private:
-    static constexpr std::size_t MostOfOne = 400;
+    static constexpr std::size_t MaxConnectionsPerThread = 400;
     static constexpr timeval Patience{ .tv_sec = 5, .tv_usec = 0 };
 
-    /** Allocates nothing: the runner's leak check is for one thread. */
+    /** Allocates nothing, because the test runner's leak check supports one thread only. */
     void run()
     {
-        std::array<int, MostOfOne> handles{};
+        std::array<int, MaxConnectionsPerThread> handles{};
         std::size_t count = 0;
-        while (!this->isOver && count < MostOfOne) {
+        while (!this->isOver && count < MaxConnectionsPerThread) {
             if (!this->isBegun)
                 continue;
             const int handle = this->connectAndSend();
@@ -162,7 +162,7 @@
         }
     }
 
-    /** Negative when the connection did not come up, which is no loss. */
+    /** Returns a negative value if the connection was not established, which is not counted as lost. */
     int connectAndSend() const
     {
         const int handle = socket(AF_INET, SOCK_STREAM, 0);
@@ -201,10 +201,10 @@
 
 TEST_GROUP(HttpListener){};
 
-// The soak beside a busy machine: one of 12,000 callers had its connection
-// reset right after it was made, between the last look at those that wait and
-// the end of the listening.
-TEST(HttpListener, AStopResetsNoConnectionThatWasMade)
+// A connection that is established between the last accept and the close of the
+// listening socket was reset: 1 of 12,000 callers of a soak test on a busy
+// machine.
+TEST(HttpListener, AStopResetsNoEstablishedConnection)
 {
     constexpr int rounds = 20;
     constexpr int mostRounds = 400;
@@ -212,7 +212,7 @@
     constexpr std::size_t enough = 1000;
     std::size_t answered = 0;
     std::size_t lost = 0;
-    // Beside a busy machine a round holds few calls: more rounds then.
+    // On a busy machine a round has few calls, so more rounds are run.
     for (int round = 0; round < rounds || (answered <= enough && round < mostRounds); ++round) {
         asio::io_context context;
         const SteadyClock clock;
@@ -221,27 +221,27 @@
         const std::uint16_t port = freePort();
         CHECK(!listener.listen({ .host = "127.0.0.1", .port = port }));
         listener.beginAccepting();
-        Hammer hammer(port, threads);
+        SequentialCallers callers(port, threads);
         context.run_for(std::chrono::milliseconds(20));
         listener.closeAfterAnswers();
         listener.stopAccepting();
         context.restart();
         context.run_for(std::chrono::milliseconds(60));
-        hammer.finish();
+        callers.finish();
         context.restart();
         context.run_for(std::chrono::milliseconds(60));
-        hammer.stop();
-        answered += hammer.answered();
-        lost += hammer.lost();
+        callers.stop();
+        answered += callers.answered();
+        lost += callers.lost();
     }
     CHECK(answered > enough);
     LONGS_EQUAL(0, lost);
 }
 
-// The soak, beside a busy machine: a caller connected 10 ms after the lead of a
-// planned stop, and its connection was reset unread. As long as callers come,
-// the listening goes on.
-TEST(HttpListener, APlannedStopResetsNoCallerThatComesLate)
+// In a soak test on a busy machine, a caller connected 10 ms after the lead time
+// of a planned stop, and its connection was reset unread. The listener must stay
+// open as long as callers connect.
+TEST(HttpListener, AStopResetsNoLateCaller)
 {
     constexpr int rounds = 20;
     constexpr int mostRounds = 400;
@@ -261,7 +261,7 @@
         const std::uint16_t port = freePort();
         CHECK(!listener.listen({ .host = "127.0.0.1", .port = port }));
         listener.beginAccepting();
-        Rush rush(port, threads);
+        ContinuousCallers callers(port, threads);
         StopSequence stop({ .lead = lead, .bound = { 20000 } });
         const Milliseconds began = clock.now();
         stop.begin(began);
@@ -270,15 +270,15 @@
             takeStopStep(listener, stop.step());
             work = { .unfinished = workLeftFor(listener), .look = stop.look() };
             if (clock.now() - began >= callersComeFrom)
-                rush.begin();
+                callers.begin();
             if (clock.now() - began >= callersComeUntil)
-                rush.cease();
+                callers.finish();
             context.restart();
             context.run_for(lookInterval);
         }
-        rush.stop();
-        answered += rush.answered();
-        lost += rush.lost();
+        callers.stop();
+        answered += callers.answered();
+        lost += callers.lost();
     }
     CHECK(answered > enough);
     LONGS_EQUAL(0, lost);
--- a/Tests/Peers/PeerLinkTest.cpp
+++ b/Tests/Peers/PeerLinkTest.cpp
@@ -16,7 +16,7 @@
 
 using asio::ip::tcp;
 
-/** Connections that nobody accepts, until the system drops those that would be one too many. */
+/** A listener whose backlog is full, so that the system drops the SYN segments of further connections. */
 class FullListener {
 public:
     explicit FullListener(asio::io_context& context)
@@ -33,7 +33,7 @@
 
     std::uint16_t port() const { return this->acceptor.local_endpoint().port(); }
 
-    /** Accepts all that come from now on; counts those that send something. */
+    /** Accepts all connections from now on and counts those on which something is received. */
     void open()
     {
         this->acceptor.async_accept([this](const asio::error_code& error, tcp::socket socket) {
@@ -42,12 +42,12 @@
             this->accepted.push_back(std::make_shared<tcp::socket>(std::move(socket)));
             const auto taken = this->accepted.back();
             taken->async_read_some(asio::buffer(this->bytes),
-                [this, taken](const asio::error_code& failure, std::size_t) { this->heard += failure ? 0 : 1; });
+                [this, taken](const asio::error_code& failure, std::size_t) { this->sendersSeen += failure ? 0 : 1; });
             this->open();
         });
     }
 
-    int heard = 0;
+    int sendersSeen = 0;
 
 private:
     tcp::acceptor acceptor;
@@ -60,10 +60,10 @@
 
 TEST_GROUP(PeerLink){};
 
-// All instances begin after a loss of power, some a moment before their seeds:
-// what is sent to a machine that is still dark is lost without a word, and the
-// system sends it again after a second.
-TEST(PeerLink, AMachineThatWasDarkIsReachedWithinHalfASecond)
+// After a power failure, some instances start a moment before their seeds. A SYN
+// to a computer that is still off is lost without an error, and TCP repeats it
+// only after 1 s.
+TEST(PeerLink, ReachesAnInstanceWithinHalfASecondOfItsStart)
 {
     asio::io_context context;
     const SteadyClock clock;
@@ -75,11 +75,11 @@
     link->send("hello");
     context.restart();
     context.run_for(std::chrono::milliseconds(100));
-    LONGS_EQUAL(0, listener.heard);
+    LONGS_EQUAL(0, listener.sendersSeen);
     listener.open();
     context.restart();
     context.run_for(std::chrono::milliseconds(400));
-    LONGS_EQUAL(1, listener.heard);
+    LONGS_EQUAL(1, listener.sendersSeen);
     link->close();
     context.restart();
     context.run_for(std::chrono::milliseconds(20));
--- a/Tests/Platform/HeaderDialectTest.cpp
+++ b/Tests/Platform/HeaderDialectTest.cpp
@@ -31,19 +31,19 @@
     { "a success without id", 200, { { "Server-Signature", "s" } }, AttemptResult::Broken, false },
     { "an encoded success", 200, { { "Request-Id", "r" }, { "Server-Signature", "s" }, { "Content-Encoding", "gzip" } },
         AttemptResult::Broken, false },
-    { "full", 503, { { "Not-Executed", "1" } }, AttemptResult::RefusedNotRun, false },
-    { "too many", 429, { { "Not-Executed", "1" } }, AttemptResult::RefusedNotRun, false },
-    { "another life", 421, { { "Instance-Id", "i-other" } }, AttemptResult::OtherServer, false },
-    { "421 of the same", 421, { { "Instance-Id", "i-1" } }, AttemptResult::RefusedNotRun, false },
+    { "503 with proof", 503, { { "Not-Executed", "1" } }, AttemptResult::RefusedNotRun, false },
+    { "429 with proof", 429, { { "Not-Executed", "1" } }, AttemptResult::RefusedNotRun, false },
+    { "421 of another server", 421, { { "Instance-Id", "i-other" } }, AttemptResult::OtherServer, false },
+    { "421 of the same server", 421, { { "Instance-Id", "i-1" } }, AttemptResult::RefusedNotRun, false },
     { "503 without proof", 503, Whole, AttemptResult::ErrorAnswer, true },
     { "429 without proof", 429, Whole, AttemptResult::ErrorAnswer, true },
     { "408 without proof", 408, Whole, AttemptResult::ErrorAnswer, true },
-    { "its own failure", 500, Whole, AttemptResult::ErrorAnswer, false },
-    { "its deadline", 504, Whole, AttemptResult::ErrorAnswer, false },
-    { "its own 404", 404, Whole, AttemptResult::Answered, false },
+    { "500 of the server", 500, Whole, AttemptResult::ErrorAnswer, false },
+    { "504 of the server", 504, Whole, AttemptResult::ErrorAnswer, false },
+    { "404 of the server", 404, Whole, AttemptResult::Answered, false },
 };
 
-/** What a server says of itself in an answer. */
+/** An answer and the notice that is read from it. */
 struct NoticeCase {
     const char* name;
     unsigned status;
@@ -53,27 +53,27 @@
 };
 
 const std::vector<NoticeCase> NoticeCases{
-    { "nothing", 200, Whole, false, 0 },
-    { "it leaves", 200, { { "Server-Leaving", "1" } }, true, 0 },
-    { "it leaves, in an error", 500, { { "server-leaving", "1" } }, true, 0 },
-    { "it does not", 200, { { "Server-Leaving", "0" } }, false, 0 },
-    { "rubbish", 200, { { "Server-Leaving", "perhaps" } }, false, 0 },
-    { "it turns away", 503, { { "Not-Executed", "1" }, { "Retry-After", "0.5" } }, false, 500 },
-    { "it turns away without proof", 503, { { "Retry-After", "2" } }, false, 2000 },
-    { "both", 503, { { "Server-Leaving", "1" }, { "Retry-After", "2" } }, true, 2000 },
-    { "another status", 429, { { "Not-Executed", "1" }, { "Retry-After", "2" } }, false, 0 },
-    { "a success", 200, { { "Retry-After", "2" } }, false, 0 },
-    { "of another server", 421, { { "Instance-Id", "i-2" }, { "Server-Leaving", "1" } }, false, 0 },
-    { "of a server without a name that is not this one", 421, { { "Server-Leaving", "1" } }, false, 0 },
-    { "421 of the same", 421, { { "Instance-Id", "i-1" }, { "Server-Leaving", "1" } }, true, 0 },
-    { "the health of another server", 503, { { "Instance-Id", "i-2" }, { "Retry-After", "2" } }, false, 0 },
+    { "no notice", 200, Whole, false, 0 },
+    { "leaving", 200, { { "Server-Leaving", "1" } }, true, 0 },
+    { "leaving, in an error", 500, { { "server-leaving", "1" } }, true, 0 },
+    { "not leaving", 200, { { "Server-Leaving", "0" } }, false, 0 },
+    { "an invalid value", 200, { { "Server-Leaving", "perhaps" } }, false, 0 },
+    { "a pause with a refusal", 503, { { "Not-Executed", "1" }, { "Retry-After", "0.5" } }, false, 500 },
+    { "a pause with an unproved refusal", 503, { { "Retry-After", "2" } }, false, 2000 },
+    { "leaving and a pause", 503, { { "Server-Leaving", "1" }, { "Retry-After", "2" } }, true, 2000 },
+    { "Retry-After with 429", 429, { { "Not-Executed", "1" }, { "Retry-After", "2" } }, false, 0 },
+    { "Retry-After with a success", 200, { { "Retry-After", "2" } }, false, 0 },
+    { "leaving, from another server", 421, { { "Instance-Id", "i-2" }, { "Server-Leaving", "1" } }, false, 0 },
+    { "421 without a server id", 421, { { "Server-Leaving", "1" } }, false, 0 },
+    { "421 of the same server", 421, { { "Instance-Id", "i-1" }, { "Server-Leaving", "1" } }, true, 0 },
+    { "a pause, from another server", 503, { { "Instance-Id", "i-2" }, { "Retry-After", "2" } }, false, 0 },
 };
 
 struct RefusalCase {
     RefusalReason reason;
     RefusedOutcome outcome;
     unsigned status;
-    bool comesBack;
+    bool hasRetryAfter;
 };
 
 const std::vector<RefusalCase> RefusalCases{
@@ -103,7 +103,7 @@
     platform::HeaderDialect dialect;
 };
 
-TEST(HeaderDialect, ReadsWhatAnAnswerProves)
+TEST(HeaderDialect, ReadsTheResultOfAnAnswer)
 {
     for (const Case& item : Cases) {
         const AttemptEnd end = this->dialect.readAnswer(response(item.status, item.fields), "i-1");
@@ -112,7 +112,7 @@
     }
 }
 
-TEST(HeaderDialect, ReadsWhatAServerSaysOfItself)
+TEST(HeaderDialect, ReadsNotices)
 {
     for (const NoticeCase& item : NoticeCases) {
         const ServerNotice notice = this->dialect.readNotice(response(item.status, item.fields), "i-1");
@@ -122,36 +122,36 @@
     }
 }
 
-// Those that the pages name and HTTP does not; docs/design/platform-fields.md says what each becomes.
+// The fields that the platform's documents define beyond HTTP; see docs/design/platform-fields.md.
 TEST(HeaderDialect, KnowsEachFieldOfAnswers)
 {
     for (const char* field : { "Request-Id", "Server-Signature", "Not-Executed", "Instance-Id", "Instance-Load",
              "Cold-Ms", "Server-Leaving" })
-        CHECK_TEXT(this->dialect.knowsAnswerField(field), field);
-    CHECK_FALSE(this->dialect.knowsAnswerField("Server-Mood"));
+        CHECK_TEXT(this->dialect.isKnownAnswerField(field), field);
+    CHECK_FALSE(this->dialect.isKnownAnswerField("Server-Mood"));
 }
 
-TEST(HeaderDialect, OnlyAProvedNotRunGetsAStatusThatPromisesIt)
+TEST(HeaderDialect, PromisesNotRunOnlyIfProved)
 {
     for (const RefusalCase& item : RefusalCases) {
         const RefuseRequest refusal{
             .request = 1, .outcome = item.outcome, .reason = item.reason, .comeBackAfter = { 250 }
         };
-        const HttpResponse answer = this->dialect.refusal(refusal, "r-1");
+        const HttpResponse answer = this->dialect.makeRefusal(refusal, "r-1");
         LONGS_EQUAL(item.status, answer.result_int());
         CHECK(valueOf(answer, "Request-Id") == "r-1");
         CHECK(valueOf(answer, "Server-Signature").empty());
-        CHECK(valueOf(answer, "Retry-After") == (item.comesBack ? "0.250" : ""));
+        CHECK(valueOf(answer, "Retry-After") == (item.hasRetryAfter ? "0.250" : ""));
     }
 }
 
-TEST(HeaderDialect, TellsAnswersOfOtherRequestsApart)
+TEST(HeaderDialect, DetectsAnswersToOtherRequests)
 {
     CHECK(this->dialect.isAnswerTo(response(200, { { "Request-Id", "r" } }), "r"));
     CHECK_FALSE(this->dialect.isAnswerTo(response(200, { { "Request-Id", "q" } }), "r"));
 }
 
-TEST(HeaderDialect, ReadsLoadFigures)
+TEST(HeaderDialect, ReadsReportedLoad)
 {
     const AttemptEnd end = this->dialect.readAnswer(response(200, { { "Instance-Load", "2,1,3,480" } }), "i-1");
     LONGS_EQUAL(2, end.load->running);
@@ -163,7 +163,7 @@
     CHECK_FALSE(this->dialect.readAnswer(response(200, { { "Instance-Load", "many" } }), "i-1").load.has_value());
 }
 
-TEST(HeaderDialect, AProbeOfAnotherLifeSaysNothingOfThisOne)
+TEST(HeaderDialect, IgnoresTheLoadThatAnotherServerReports)
 {
     const ProbeEnd own
         = this->dialect.readProbe(response(200, { { "Instance-Id", "i-1" }, { "Instance-Load", "0,0,3,100" } }), "i-1");
@@ -173,7 +173,7 @@
     CHECK(other.isOtherServer && !other.load);
 }
 
-TEST(HeaderDialect, HandsOnWhatIsLeftOfTheDeadline)
+TEST(HeaderDialect, ForwardsTheTimeLeft)
 {
     HttpRequest request(http::verb::get, "/", 11);
     setField(request, "Request-Id", "r");
@@ -183,5 +183,5 @@
     CHECK(valueOf(request, "Deadline-Ms") == "412");
     CHECK(valueOf(request, "Expected-Instance") == "i-1");
     CHECK(valueOf(request, "Request-Id") == "r");
-    CHECK_FALSE(this->dialect.readCaller(HttpRequest(http::verb::get, "/", 11)).isReadable);
+    CHECK_FALSE(this->dialect.readCaller(HttpRequest(http::verb::get, "/", 11)).isValid);
 }
--- a/Tests/Platform/KvFactTranslatorTest.cpp
+++ b/Tests/Platform/KvFactTranslatorTest.cpp
@@ -29,44 +29,45 @@
     return { .key = key, .value = value, .revision = 7, .removed = removed };
 }
 
-/** Items that say nothing, or cannot be read. */
+/** An item that translates to no facts, either because its key is not used or because it is invalid. */
 struct Case {
     const char* name;
     StoreItem item;
-    std::size_t findings;
+    std::size_t findings; // number of findings
 };
 
 const std::vector<Case> Cases{
     { "another key", item("op/other", "{}"), 0 },
     { "a status", item("status/x", "{}"), 0 },
-    { "no JSON", item("op/config", "{"), 1 },
+    { "invalid JSON", item("op/config", "{"), 1 },
     { "a list", item("op/config", "[]"), 1 },
-    { "a route to nowhere", item("op/config", R"({"version":"01","routes":{"r":{"host":"a","path_prefix":"/"}}})"), 1 },
+    { "a route without a service",
+        item("op/config", R"({"version":"01","routes":{"r":{"host":"a","path_prefix":"/"}}})"), 1 },
     { "a route without a host",
         item("op/config", R"({"version":"01","routes":{"r":{"path_prefix":"/","service":"s"}}})"), 1 },
     { "a version of another type",
         item("op/config", R"({"version":1,"routes":{"r":{"host":"a","path_prefix":"/","service":"s"}}})"), 1 },
-    { "an absurd weight", item("op/config", R"({"version":"01","routes":{"r":{"host":"a","path_prefix":"/",
+    { "a negative weight", item("op/config", R"({"version":"01","routes":{"r":{"host":"a","path_prefix":"/",
         "traffic_split":[{"service":"s","weight":-4},{"service":"t","weight":1}]}}})"),
         1 },
     { "routes of another type", item("op/config", R"({"version":"01","routes":[]})"), 1 },
     { "the configuration removed", item("op/config", "", true), 0 },
 };
 
-/** A text in the record of a server, and what another writer has in its place. */
-struct ForeignRecord {
+/** A change that makes the record of a backend server invalid. */
+struct InvalidRecord {
     const char* name;
-    const char* usual;
-    const char* foreign;
+    const char* valid; // text of the valid record
+    const char* invalid; // text that replaces it
 };
 
-const std::vector<ForeignRecord> ForeignRecords{
+const std::vector<InvalidRecord> InvalidRecords{
     { "no address", R"("address":"10.128.0.9:8080",)", "" },
-    { "an address that is none", R"("10.128.0.9:8080")", R"("somewhere")" },
+    { "an invalid address", R"("10.128.0.9:8080")", R"("somewhere")" },
     { "an address of another type", R"("10.128.0.9:8080")", "7" },
-    { "a start of another type", "1764716442123", R"("1764716442123")" },
-    { "a start that is no whole number", "1764716442123", "1764716442123.5" },
-    { "a start before all times", "1764716442123", "-1" },
+    { "a start time of another type", "1764716442123", R"("1764716442123")" },
+    { "a start time that is not a whole number", "1764716442123", "1764716442123.5" },
+    { "a negative start time", "1764716442123", "-1" },
     { "no service", R"("service":"s-a",)", "" },
     { "an empty service", R"("s-a")", R"("")" },
     { "a service of another type", R"("s-a")", R"(["s-a"])" },
@@ -74,19 +75,19 @@
     { "no data centre", R"("zone":"z-1",)", "" },
     { "a data centre of another type", R"("z-1")", "null" },
     { "no slots", R"(,"slots":4)", "" },
-    { "no slots at all", R"("slots":4)", R"("slots":0)" },
+    { "zero slots", R"("slots":4)", R"("slots":0)" },
     { "slots of another type", R"("slots":4)", R"("slots":"4")" },
-    { "parts of slots", R"("slots":4)", R"("slots":4.5)" },
-    { "an absurd number of slots", R"("slots":4)", R"("slots":400000000)" },
+    { "a fraction of a slot", R"("slots":4)", R"("slots":4.5)" },
+    { "too many slots", R"("slots":4)", R"("slots":400000000)" },
     { "no state", R"("state":"draining",)", "" },
-    { "a state that is not named", R"("draining")", R"("paused")" },
+    { "an unknown state", R"("draining")", R"("paused")" },
     { "a state of another type", R"("draining")", "true" },
     { "no sequence", R"("sequence":4,)", "" },
     { "a sequence of another type", R"("sequence":4)", R"("sequence":"four")" },
     { "no cold time", R"(,"cold_remaining":"1500ms")", "" },
     { "a cold time of another type", R"("1500ms")", "1500" },
     { "a cold time without a unit", R"("1500ms")", R"("1500")" },
-    { "an absurd cold time", R"("1500ms")", R"("900000000s")" },
+    { "a cold time that is too long", R"("1500ms")", R"("900000000s")" },
     { "no info", R"("info")", R"("other")" },
     { "a status of another type", R"("status":{)", R"("status":"ready","other":{)" },
 };
@@ -129,7 +130,7 @@
     DOUBLES_EQUAL(15000, configuration.callerLimits.idleTimeout.count, 0);
 }
 
-TEST(KvFactTranslator, ReadsABackendServerAndItsEnd)
+TEST(KvFactTranslator, ReadsABackendServerAndItsRemoval)
 {
     const Facts facts = this->translator.translate(item("servers/i-7", Server));
     LONGS_EQUAL(1, facts.backendServers.size());
@@ -146,7 +147,7 @@
     STRCMP_EQUAL("i-7", gone.goneBackendServers.front().c_str());
 }
 
-TEST(KvFactTranslator, WhatCannotBeReadChangesNothingAndIsTold)
+TEST(KvFactTranslator, InvalidItemsResultInFindingsOnly)
 {
     for (const Case& each : Cases) {
         const Facts facts = this->translator.translate(each.item);
@@ -155,7 +156,7 @@
     }
 }
 
-TEST(KvFactTranslator, Base64GoesThereAndBack)
+TEST(KvFactTranslator, EncodesAndDecodesBase64)
 {
     for (const std::string& text : { std::string(), std::string("f"), std::string("fo"), std::string("foo"),
              std::string("foob"), std::string("\0\xff\x10", 3) })
@@ -166,10 +167,10 @@
         CHECK_FALSE(platform::decodeBase64(bad).has_value());
 }
 
-TEST(KvFactTranslator, ARecordOfAnotherWriterNamesNoServerToUse)
+TEST(KvFactTranslator, AnInvalidRecordIsNotUsed)
 {
-    for (const ForeignRecord& each : ForeignRecords) {
-        const std::string record = replaced(Server, each.usual, each.foreign);
+    for (const InvalidRecord& each : InvalidRecords) {
+        const std::string record = replaced(Server, each.valid, each.invalid);
         const Facts facts = this->translator.translate(item("servers/i-7", record.c_str()));
         CHECK_TEXT(facts.backendServers.empty(), each.name);
         LONGS_EQUAL_TEXT(1, facts.unusableBackendServers.size(), each.name);
@@ -186,18 +187,18 @@
     LONGS_EQUAL(0, facts.backendServers.front().life);
 }
 
-// Whatever bytes lie there, the record is either whole or not used.
-TEST(KvFactTranslator, SpoiltBytesNeverNameAServerInPart)
+// Random changes of bytes: the record is either used with all its fields valid or not used at all.
+TEST(KvFactTranslator, ACorruptedRecordIsNeverUsedInPart)
 {
     constexpr int rounds = 20000;
     std::mt19937 random(1);
     const std::string usual = Server;
     for (int round = 0; round < rounds; ++round) {
-        std::string spoilt = usual;
+        std::string corrupted = usual;
         const std::size_t changes = 1 + random() % 3;
         for (std::size_t change = 0; change < changes; ++change)
-            spoilt[random() % spoilt.size()] = static_cast<char>(random() % 256);
-        const Facts facts = this->translator.translate(item("servers/i-7", spoilt.c_str()));
+            corrupted[random() % corrupted.size()] = static_cast<char>(random() % 256);
+        const Facts facts = this->translator.translate(item("servers/i-7", corrupted.c_str()));
         LONGS_EQUAL(1, facts.backendServers.size() + facts.unusableBackendServers.size());
         CHECK(facts.backendServers.empty() != facts.findings.empty());
         for (const BackendServerRecord& record : facts.backendServers)
@@ -205,7 +206,7 @@
     }
 }
 
-TEST(KvFactTranslator, ReadsThatADataCentreIsEmptiedAndTakenBack)
+TEST(KvFactTranslator, ReadsThatADataCentreIsEmptied)
 {
     const Facts emptied = this->translator.translate(item("op/evacuate/z-1", "{}"));
     LONGS_EQUAL(1, emptied.dataCentres.size());
@@ -214,10 +215,10 @@
     const Facts back = this->translator.translate(item("op/evacuate/z-1", "", true));
     CHECK_FALSE(back.dataCentres.front().emptied);
     const Facts unreadable = this->translator.translate(item("op/evacuate/z-1", "\x01{"));
-    CHECK_TEXT(unreadable.dataCentres.front().emptied, "the key alone says it");
+    CHECK_TEXT(unreadable.dataCentres.front().emptied, "the key alone counts");
 }
 
-TEST(KvFactTranslator, ReadsWhatAColdServerBears)
+TEST(KvFactTranslator, ReadsLimitsOfColdServers)
 {
     const Facts facts = this->translator.translate(item("op/config",
         R"({"version":"01","routes":{"r":{"host":"a","path_prefix":"/","service":"s"}},
@@ -228,7 +229,7 @@
 
 namespace {
 
-/** A document of customers; the rest of it is always the same. */
+/** A configuration with these customers. */
 std::string documentWith(const std::string& customers)
 {
     return R"({"version":"00000007","routes":{"r":{"host":"a.example","path_prefix":"/x/","type":"safe","service":"s","public":true},)"
@@ -266,7 +267,7 @@
         CHECK_EQUAL(route.name == "r", route.isPublic);
 }
 
-TEST(KvFactTranslator, RefusesCustomersThatCannotBeToldApartWithoutNamingAKey)
+TEST(KvFactTranslator, FindingsAboutCustomersContainNoKeys)
 {
     const std::vector<std::string> documents{
         R"({"acme":{"api_keys":["secret-1"]},"other":{"api_keys":["secret-2","secret-1"]}})",
@@ -282,7 +283,7 @@
     }
 }
 
-TEST(KvFactTranslator, TakesAllKeysOutOfADocumentAndNothingElse)
+TEST(KvFactTranslator, ReplacesAllKeysAndNothingElse)
 {
     struct Case {
         std::string before;
@@ -303,7 +304,7 @@
         stored.value = item.before;
         const auto cleared = translator.withoutSecrets(stored);
         STRCMP_EQUAL(item.after.c_str(), cleared.value_or(item.before).c_str());
-        // What was cleared once stays as it is.
+        // Removing the keys a second time changes nothing.
         stored.value = cleared.value_or(item.before);
         STRCMP_EQUAL(item.after.c_str(), translator.withoutSecrets(stored).value_or(stored.value).c_str());
     }
--- a/Tests/Platform/KvStoreWireTest.cpp
+++ b/Tests/Platform/KvStoreWireTest.cpp
@@ -34,17 +34,17 @@
     { "events", Watch, 200,
         R"({"events":[{"key":"a","value":"eA==","revision":4},{"key":"b","revision":5,"gone":true}],"at":5})",
         StoreStatus::Done, 2, 5 },
-    { "a quiet watch", Watch, 200, R"({"events":[],"at":5})", StoreStatus::Done, 0, 5 },
+    { "a watch without events", Watch, 200, R"({"events":[],"at":5})", StoreStatus::Done, 0, 5 },
     { "lost history", Watch, 410, "", StoreStatus::HistoryLost, 0, 0 },
-    { "written", Write, 200, R"({"revision":12})", StoreStatus::Done, 0, 12 },
+    { "a write", Write, 200, R"({"revision":12})", StoreStatus::Done, 0, 12 },
     { "a condition that did not hold", Write, 412, R"({"items":[]})", StoreStatus::Conflict, 0, 0 },
-    { "down", Range, 503, "", StoreStatus::Refused, 0, 0 },
-    { "too many", Watch, 429, "", StoreStatus::Refused, 0, 0 },
+    { "store unavailable", Range, 503, "", StoreStatus::Refused, 0, 0 },
+    { "too many calls", Watch, 429, "", StoreStatus::Refused, 0, 0 },
     { "an error", Write, 500, "", StoreStatus::Unknown, 0, 0 },
-    { "no JSON", Range, 200, "<html>", StoreStatus::Unknown, 0, 0 },
+    { "invalid JSON", Range, 200, "<html>", StoreStatus::Unknown, 0, 0 },
     { "no revision", Range, 200, R"({"items":[]})", StoreStatus::Unknown, 0, 0 },
     { "no list", Watch, 200, R"({"at":5})", StoreStatus::Unknown, 0, 5 },
-    { "an item that cannot be read", Range, 200, R"({"items":[{"key":"a"}],"at":9})", StoreStatus::Unknown, 0, 9 },
+    { "an invalid item", Range, 200, R"({"items":[{"key":"a"}],"at":9})", StoreStatus::Unknown, 0, 9 },
     { "a value that is not base64", Range, 200, R"({"items":[{"key":"a","value":"*","revision":4}],"at":9})",
         StoreStatus::Unknown, 0, 9 },
 };
@@ -85,7 +85,7 @@
     CHECK(answer.items[1].removed);
 }
 
-TEST(KvStoreWire, WritesCalls)
+TEST(KvStoreWire, EncodesCalls)
 {
     StoreRequest watch;
     watch.operation = Watch;
--- a/Tests/Traffic/BearerKeyTest.cpp
+++ b/Tests/Traffic/BearerKeyTest.cpp
@@ -1,5 +1,6 @@
-// A caller's key must reach no backend server and the name of a customer only
-// by what this instance found. Tables of what callers send, valid and not.
+// A caller's key must not reach a backend server, and the customer's name sent
+// there must be the one that the instance looked up, never one that the caller
+// claimed.
 
 #include "Traffic/BearerKey.h"
 #include "HeaderDialect.h"
@@ -31,7 +32,7 @@
 const std::vector<Case> Cases{
     { "none", {}, Kind::None },
     { "a key", { { "Authorization", "Bearer k1" } }, Kind::Key },
-    { "another spelling", { { "AUTHORIZATION", "bEARER k1" } }, Kind::Key },
+    { "upper and lower case", { { "AUTHORIZATION", "bEARER k1" } }, Kind::Key },
     { "several blanks", { { "Authorization", "Bearer   k1" } }, Kind::Key },
     { "all characters that a key may have", { { "Authorization", "Bearer aZ09-._~+/==" } }, Kind::Key },
     { "no blank", { { "Authorization", "Bearerk1" } }, Kind::Unreadable },
@@ -44,18 +45,18 @@
     { "two values", { { "Authorization", "Bearer k1, Bearer k2" } }, Kind::Unreadable },
     { "two fields", { { "Authorization", "Bearer k1" }, { "authorization", "Bearer k1" } }, Kind::Unreadable },
     { "quotes", { { "Authorization", "Bearer \"k1\"" } }, Kind::Unreadable },
-    { "no text", { { "Authorization", "Bearer k\x80\xff" } }, Kind::Unreadable },
+    { "bytes beyond ASCII", { { "Authorization", "Bearer k\x80\xff" } }, Kind::Unreadable },
     { "a long key", { { "Authorization", "Bearer " + std::string(4096, 'k') } }, Kind::Key },
     { "a key of 8 KB", { { "Authorization", "Bearer " + std::string(8192, 'k') } }, Kind::Unreadable },
 };
 
-/** A form in which instances speak to backend servers. */
-struct Form {
+/** A dialect and the field in which it names the customer to backend servers. */
+struct DialectForm {
     std::shared_ptr<TrafficDialect> dialect;
     std::string customerField;
 };
 
-const std::vector<Form> Forms{
+const std::vector<DialectForm> DialectForms{
     { std::make_shared<OwnTrafficDialect>(), "Burlreach-Customer" },
     { std::make_shared<platform::HeaderDialect>(), "Tenant-Id" },
 };
@@ -75,7 +76,7 @@
 TEST(BearerKey, IsReadOnlyFromOneWellFormedField)
 {
     for (const Case& item : Cases) {
-        for (const Form& form : Forms) {
+        for (const DialectForm& form : DialectForms) {
             const Credential credential = form.dialect->readCaller(requestWith(item.fields)).credential;
             CHECK_TEXT(credential.kind == item.kind, item.name);
         }
@@ -83,21 +84,21 @@
     CHECK(readBearerKey(requestWith({ { "Authorization", "Bearer k1" } })).key == digestOfKey("k1"));
 }
 
-TEST(BearerKey, NeitherTheKeyNorAClaimedNameGoesOnWhereThereAreCustomers)
+TEST(BearerKey, RemovesKeyAndClaimedNameIfThereAreCustomers)
 {
-    for (const Form& form : Forms) {
+    for (const DialectForm& form : DialectForms) {
         const std::string& field = form.customerField;
-        std::string shouted = field;
-        for (char& letter : shouted)
+        std::string upperCase = field;
+        for (char& letter : upperCase)
             letter = static_cast<char>(std::toupper(static_cast<unsigned char>(letter)));
         const Fields sent{ { "Authorization", "Bearer k1" }, { "AUTHORIZATION", "Basic k1" }, { field, "other" },
-            { shouted, "another" }, { "Accept", "text/plain" } };
+            { upperCase, "another" }, { "Accept", "text/plain" } };
         for (const char* customer : { "acme", "" }) {
             HttpRequest request = requestWith(sent);
             form.dialect->writeAttempt(request,
                 { .backendServer = "s1",
                     .timeLeft = { 100 },
-                    .customer = { .isKeyKept = true, .customer = customer } });
+                    .customer = { .withholdsKey = true, .customer = customer } });
             const std::string bytes = encode(request);
             CHECK_TEXT(bytes.find("k1") == std::string::npos, bytes.c_str());
             CHECK_TEXT(bytes.find("other") == std::string::npos, bytes.c_str());
@@ -108,9 +109,9 @@
     }
 }
 
-TEST(BearerKey, WithoutCustomersAllGoesOnAsItCame)
+TEST(BearerKey, ForwardsFieldsUnchangedWithoutCustomers)
 {
-    for (const Form& form : Forms) {
+    for (const DialectForm& form : DialectForms) {
         HttpRequest request = requestWith({ { "Authorization", "Basic abc" }, { form.customerField, "x" } });
         form.dialect->writeAttempt(request, { .backendServer = "s1", .timeLeft = { 100 } });
         STRCMP_EQUAL("Basic abc", std::string(valueOf(request, "Authorization")).c_str());
@@ -118,7 +119,7 @@
     }
 }
 
-TEST(BearerKey, CallersAreToldWhyAndWhenToComeBack)
+TEST(BearerKey, RefusalsHaveAStatusAndRetryAfter)
 {
     struct Told {
         RefusalReason reason;
@@ -136,7 +137,7 @@
     };
     const platform::HeaderDialect dialect;
     for (const Told& item : cases) {
-        const HttpResponse response = dialect.refusal(
+        const HttpResponse response = dialect.makeRefusal(
             { .request = 1, .outcome = item.outcome, .reason = item.reason, .comeBackAfter = { 250 } }, "r-1");
         LONGS_EQUAL(item.status, response.result_int());
         CHECK_EQUAL(item.hasTime, !valueOf(response, "Retry-After").empty());
--- a/Tests/Traffic/RequestDeskTest.cpp
+++ b/Tests/Traffic/RequestDeskTest.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-/** Notes what the desk tells the decisions, and answers as a test says. */
-class NotingSink final : public EventSink {
+/** Records the posted events and reacts to arrivals as the test says. */
+class RecordingSink final : public EventSink {
 public:
     void post(const Event& event) override
     {
@@ -44,29 +44,29 @@
     std::function<void(const RequestArrived&)> onArrival;
 };
 
-/** What a caller sends and what it must get. */
+/** What a caller sends and what it must receive. */
 struct Case {
     const char* name;
     std::string bytes;
     std::size_t arrivals;
-    std::vector<const char*> answers; // found in this order
+    std::vector<const char*> answers; // texts that must occur in what is received, in this order
 };
 
 const std::vector<Case> Cases{
     { "one request", "GET /a HTTP/1.1\r\nHost: x\r\n\r\n", 1, { "HTTP/1.1 503", "no_backend_server" } },
-    { "two sent ahead", "GET /a HTTP/1.1\r\nHost: x\r\n\r\nGET /b HTTP/1.1\r\nHost: x\r\n\r\n", 2,
+    { "two pipelined requests", "GET /a HTTP/1.1\r\nHost: x\r\n\r\nGET /b HTTP/1.1\r\nHost: x\r\n\r\n", 2,
         { "HTTP/1.1 503", "HTTP/1.1 503" } },
     { "a body in chunks", "POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", 1,
         { "HTTP/1.1 503" } },
-    { "an expectation", "POST /a HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\nabc", 1,
+    { "Expect: 100-continue", "POST /a HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\nabc", 1,
         { "HTTP/1.1 503" } },
-    { "no HTTP", "hello there\r\n\r\n", 0, { "HTTP/1.1 400" } },
+    { "bytes that are not HTTP", "hello there\r\n\r\n", 0, { "HTTP/1.1 400" } },
     { "two lengths", "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc", 0,
         { "HTTP/1.1 400" } },
     { "a header that is too long", "GET /a HTTP/1.1\r\nHost: x\r\nLong: " + std::string(3000, 'x') + "\r\n\r\n", 0,
         { "HTTP/1.1 431" } },
     { "a body that is too long", "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 9999\r\n\r\n", 0, { "HTTP/1.1 413" } },
-    { "a deadline that is none", "GET /a HTTP/1.1\r\nHost: x\r\nBurlreach-Deadline-Milliseconds: x\r\n\r\n", 0,
+    { "an invalid deadline", "GET /a HTTP/1.1\r\nHost: x\r\nBurlreach-Deadline-Milliseconds: x\r\n\r\n", 0,
         { "HTTP/1.1 400", "bad_request" } },
 };
 
@@ -74,8 +74,8 @@
 
 TEST_GROUP(RequestDesk)
 {
-    /** Paths of small letters may be repeated. */
-    class SmallLetters final : public RepeatLookup {
+    /** Requests to paths of one lower-case letter may be repeated. */
+    class LowerCaseIsRepeatable final : public RepeatLookup {
     public:
         bool mayRepeat(std::string_view, std::string_view, std::string_view path) const override
         {
@@ -83,12 +83,12 @@
         }
     };
 
-    SmallLetters repeats;
+    LowerCaseIsRepeatable repeats;
     asio::io_context context;
     SteadyClock clock;
     OwnTrafficDialect dialect;
     TrafficMetrics metrics;
-    NotingSink sink;
+    RecordingSink sink;
     std::uint16_t port = 0;
     std::unique_ptr<RequestDesk> desk;
 
@@ -131,7 +131,7 @@
         return socket;
     }
 
-    /** A request for each letter of the paths. */
+    /** One request for each letter. */
     static std::string requestsTo(std::string_view paths)
     {
         std::string bytes;
@@ -140,8 +140,8 @@
         return bytes;
     }
 
-    /** The letters of those that reached the decisions. */
-    std::string begun() const
+    /** The path letters of the requests for which an arrival was posted. */
+    std::string startedPaths() const
     {
         std::string letters;
         for (const RequestArrived& item : this->sink.arrived)
@@ -149,10 +149,10 @@
         return letters;
     }
 
-    void pass(Milliseconds span)
+    void runFor(Milliseconds duration)
     {
         this->context.restart();
-        this->context.run_for(std::chrono::milliseconds(static_cast<int>(span.count)));
+        this->context.run_for(std::chrono::milliseconds(static_cast<int>(duration.count)));
     }
 
     void refuse(std::size_t arrival) const
@@ -172,7 +172,7 @@
         return { buffer.data(), size };
     }
 
-    /** What comes within a moment. */
+    /** Sends these bytes on a new connection and returns what is received within 60 ms. */
     std::string answersTo(const std::string& bytes)
     {
         asio::ip::tcp::socket socket = this->connect();
@@ -187,7 +187,7 @@
     }
 };
 
-TEST(RequestDesk, ReadsWhatCallersSend)
+TEST(RequestDesk, ReadsOrRefusesWhatCallersSend)
 {
     this->configure();
     this->refuseAll();
@@ -204,136 +204,138 @@
     }
 }
 
-TEST(RequestDesk, CallersWaitForTheFirstConfigurationButNotForLong)
+TEST(RequestDesk, RefusesCallersIfNoConfigurationArrives)
 {
     this->refuseAll();
     STRCMP_EQUAL("", this->answersTo("GET /a HTTP/1.1\r\nHost: x\r\n\r\n").c_str());
     this->context.restart();
     this->context.run_for(std::chrono::milliseconds(900));
-    CHECK_TEXT(!this->answersTo("GET /a HTTP/1.1\r\nHost: x\r\n\r\n").empty(), "within the second of their patience");
+    CHECK_TEXT(
+        !this->answersTo("GET /a HTTP/1.1\r\nHost: x\r\n\r\n").empty(), "refused before callers give up after 1 s");
 }
 
-// Sent one behind the other on one connection; which of them reach the decisions while nothing is answered.
-TEST(RequestDesk, BeginsEarlyOnlyWhatMayBeRepeated)
+// Pipelined requests on one connection: which of them are started while none has been answered.
+TEST(RequestDesk, StartsOnlyRepeatableRequestsEarly)
 {
     struct Sent {
         const char* name;
-        const char* paths; // a letter a request; small ones may be repeated
-        const char* begun;
+        const char* paths; // one letter per request; lower-case ones may be repeated
+        const char* begun; // letters of the requests that are started
     };
     const std::vector<Sent> table{
-        { "repeatable ones go side by side", "abc", "abc" },
-        { "a run-once request waits for those ahead of it", "aXb", "a" },
-        { "a run-once request alone begins", "X", "X" },
-        { "a repeatable one need not wait for a run-once request", "Xab", "Xab" },
+        { "repeatable requests start concurrently", "abc", "abc" },
+        { "a run-once request waits for earlier requests", "aXb", "a" },
+        { "a single run-once request starts", "X", "X" },
+        { "repeatable requests do not wait for a run-once request", "Xab", "Xab" },
         { "two run-once requests", "XY", "X" },
-        { "a bounded number", "abcdefghij", "abcdefgh" },
+        { "at most eight at a time", "abcdefghij", "abcdefgh" },
     };
     this->configure();
     for (const Sent& item : table) {
         this->sink.arrived.clear();
         this->answersTo(this->requestsTo(item.paths));
-        STRCMP_EQUAL_TEXT(item.begun, this->begun().c_str(), item.name);
+        STRCMP_EQUAL_TEXT(item.begun, this->startedPaths().c_str(), item.name);
     }
 }
 
-TEST(RequestDesk, WhatWasHeldBackBeginsAfterTheAnswersAheadOfIt)
+TEST(RequestDesk, StartsAWaitingRequestAfterTheEarlierAnswers)
 {
     this->configure();
     asio::ip::tcp::socket socket = this->connect();
     asio::write(socket, asio::buffer(this->requestsTo("abX")));
-    this->pass({ 40 });
-    STRCMP_EQUAL("ab", this->begun().c_str());
+    this->runFor({ 40 });
+    STRCMP_EQUAL("ab", this->startedPaths().c_str());
     this->refuse(1);
-    this->pass({ 40 });
-    STRCMP_EQUAL_TEXT("ab", this->begun().c_str(), "the first is still unanswered");
+    this->runFor({ 40 });
+    STRCMP_EQUAL_TEXT("ab", this->startedPaths().c_str(), "the first is still unanswered");
     this->refuse(0);
-    this->pass({ 40 });
-    STRCMP_EQUAL("abX", this->begun().c_str());
+    this->runFor({ 40 });
+    STRCMP_EQUAL("abX", this->startedPaths().c_str());
 }
 
-TEST(RequestDesk, ACallerThatLeavesCancelsAllItsRequests)
+TEST(RequestDesk, ALostConnectionCancelsAllItsRequests)
 {
     this->configure();
     {
         asio::ip::tcp::socket socket = this->connect();
         asio::write(socket, asio::buffer(this->requestsTo("abc")));
-        this->pass({ 40 });
+        this->runFor({ 40 });
         LONGS_EQUAL(3, this->desk->openRequests());
     }
-    this->pass({ 40 });
+    this->runFor({ 40 });
     LONGS_EQUAL(3, this->sink.gone);
     LONGS_EQUAL(0, this->desk->openRequests());
 }
 
-// The rest counts as unread for the caller, so nothing of it may have begun.
-TEST(RequestDesk, APlannedStopAnswersWhatHasBegunAndReadsNothingBehindIt)
+// The caller takes requests that are not answered before the close as unread
+// and repeats them, so none of them may have been started.
+TEST(RequestDesk, AStopAnswersStartedRequestsAndStartsNoMore)
 {
     this->configure();
     asio::ip::tcp::socket socket = this->connect();
     asio::write(socket, asio::buffer(this->requestsTo("abX")));
-    this->pass({ 40 });
+    this->runFor({ 40 });
     this->desk->sessions().closeAfterAnswers();
     asio::write(socket, asio::buffer(this->requestsTo("c")));
-    this->pass({ 40 });
+    this->runFor({ 40 });
     this->refuse(0);
     this->refuse(1);
-    this->pass({ 40 });
-    STRCMP_EQUAL("ab", this->begun().c_str());
+    this->runFor({ 40 });
+    STRCMP_EQUAL("ab", this->startedPaths().c_str());
     const std::string answers = this->readFrom(socket);
     const std::size_t first = answers.find("HTTP/1.1 503");
     const std::size_t second = answers.find("HTTP/1.1 503", first + 1);
     CHECK(second != std::string::npos);
-    CHECK_TEXT(answers.find("Connection: close") > second, "only the last answer closes");
+    CHECK_TEXT(answers.find("Connection: close") > second, "only the last answer has Connection: close");
     LONGS_EQUAL(0, this->desk->sessions().unfinished());
 }
 
-TEST(RequestDesk, AnUnreadableRequestIsAnsweredBehindThoseAheadOfIt)
+TEST(RequestDesk, AnswersAnUnreadableRequestAfterEarlierOnes)
 {
     this->configure();
     asio::ip::tcp::socket socket = this->connect();
     asio::write(socket, asio::buffer(this->requestsTo("a") + "no request\r\n\r\n" + this->requestsTo("b")));
-    this->pass({ 40 });
-    STRCMP_EQUAL("a", this->begun().c_str());
+    this->runFor({ 40 });
+    STRCMP_EQUAL("a", this->startedPaths().c_str());
     STRCMP_EQUAL("", this->readFrom(socket).c_str());
     this->refuse(0);
-    this->pass({ 40 });
+    this->runFor({ 40 });
     const std::string answers = this->readFrom(socket);
     CHECK(answers.find("HTTP/1.1 503") < answers.find("HTTP/1.1 400"));
     CHECK(answers.find("HTTP/1.1 400") != std::string::npos);
 }
 
-// Another connection may be half read meanwhile: an interim answer would be taken for that of the first request.
-TEST(RequestDesk, NoInterimAnswerBeforeTheAnswersAhead)
+// The caller would take an interim answer for the answer to an earlier request that is still unanswered.
+TEST(RequestDesk, SendsNoInterimAnswerBeforeEarlierAnswers)
 {
     this->configure();
     asio::ip::tcp::socket socket = this->connect();
     const std::string expecting = "POST /Y HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n";
     asio::write(socket, asio::buffer(this->requestsTo("a") + expecting));
-    this->pass({ 40 });
+    this->runFor({ 40 });
     STRCMP_EQUAL("", this->readFrom(socket).c_str());
     this->refuse(0);
-    this->pass({ 40 });
+    this->runFor({ 40 });
     const std::string answers = this->readFrom(socket);
     CHECK(answers.find("HTTP/1.1 503") < answers.find("HTTP/1.1 100"));
     CHECK(answers.find("HTTP/1.1 100") != std::string::npos);
 }
 
-// What a caller says of its time counts from when its request was read.
-TEST(RequestDesk, TheTimeThatARequestWasHeldBackIsTakenOffItsTimeLeft)
+// A caller's time limit counts from the moment at which its request was read.
+TEST(RequestDesk, WaitingReducesTheTimeLeftOfARequest)
 {
     this->configure();
     asio::ip::tcp::socket socket = this->connect();
-    const std::string hurried = "GET /X HTTP/1.1\r\nHost: x\r\nBurlreach-Deadline-Milliseconds: 1000\r\n\r\n";
-    asio::write(socket, asio::buffer(this->requestsTo("a") + hurried));
-    this->pass({ 80 });
+    const std::string withDeadline = "GET /X HTTP/1.1\r\nHost: x\r\nBurlreach-Deadline-Milliseconds: 1000\r\n\r\n";
+    asio::write(socket, asio::buffer(this->requestsTo("a") + withDeadline));
+    this->runFor({ 80 });
     this->refuse(0);
-    this->pass({ 40 });
+    this->runFor({ 40 });
     LONGS_EQUAL(2, this->sink.arrived.size());
     CHECK(*this->sink.arrived.back().timeLeft <= Milliseconds{ 960 });
 }
 
-TEST(RequestDesk, NoticesACallerThatLeaves)
+TEST(RequestDesk, DetectsALostConnection)
 {
     this->configure();
     {
@@ -350,10 +352,10 @@
     LONGS_EQUAL(0, this->desk->openRequests());
 }
 
-TEST(RequestDesk, ASessionTooManyIsCountedWithItsReason)
+TEST(RequestDesk, CountsASessionBeyondTheLimit)
 {
     this->configure();
-    this->desk->sessions().setMostSessions(1);
+    this->desk->sessions().setMaxSessions(1);
     const asio::ip::tcp::socket first = this->connect();
     const asio::ip::tcp::socket second = this->connect();
     this->context.restart();
@@ -362,7 +364,7 @@
     CHECK(this->sink.earlyReason == RefusalReason::TooManySessions);
 }
 
-TEST(RequestDesk, AnAnswerThatIsNotYetWrittenIsUnfinished)
+TEST(RequestDesk, ASessionIsUnfinishedUntilItsAnswerIsWritten)
 {
     this->configure();
     asio::ip::tcp::socket socket = this->connect();
@@ -374,16 +376,16 @@
         .outcome = RefusedOutcome::NotRun,
         .reason = RefusalReason::NoBackendServer,
         .comeBackAfter = { 250 } });
-    LONGS_EQUAL_TEXT(0, this->desk->openRequests(), "the decisions are done with it");
-    LONGS_EQUAL_TEXT(1, this->desk->sessions().unfinished(), "the caller has not got it");
+    LONGS_EQUAL_TEXT(0, this->desk->openRequests(), "the request is closed");
+    LONGS_EQUAL_TEXT(1, this->desk->sessions().unfinished(), "the caller has not received the answer");
     this->context.restart();
     this->context.run_for(std::chrono::milliseconds(30));
     LONGS_EQUAL(0, this->desk->sessions().unfinished());
 }
 
-// Between the choice of a server and the first byte to it there is a connection
-// to be made, and the server may say meanwhile that it is leaving.
-TEST(RequestDesk, WhatIsNotYetWrittenIsNotSentToALeavingServer)
+// A server may announce that it is leaving after it was chosen for a request,
+// while the connection for that request is being made.
+TEST(RequestDesk, AbortsUnsentAttemptsAtALeavingServer)
 {
     this->configure();
     const asio::ip::tcp::acceptor server(this->context, asio::ip::tcp::endpoint(asio::ip::address_v4::loopback(), 0));
@@ -405,18 +407,19 @@
     }
 }
 
-// A planned stop beside a busy machine cut two of 16,289 requests.
-TEST(RequestDesk, AConnectionMadeJustBeforeTheStopStillGetsItsAnswer)
+// A connection that was made but not yet accepted when a planned stop began
+// was reset together with its request: 2 of 16,289 requests on a busy machine.
+TEST(RequestDesk, AnswersOnAConnectionMadeJustBeforeAStop)
 {
     this->configure();
     this->refuseAll();
     HttpListener& sessions = this->desk->sessions();
     sessions.closeAfterAnswers();
-    // Made, and not yet accepted.
+    // Connected, but not yet accepted.
     asio::ip::tcp::socket socket = this->connect();
     sessions.stopAccepting();
     sessions.closeIdle();
-    LONGS_EQUAL_TEXT(1, sessions.unfinished(), "it may be about to send");
+    LONGS_EQUAL_TEXT(1, sessions.unfinished(), "the caller may be about to send");
     asio::write(socket, asio::buffer(std::string("GET /a HTTP/1.1\r\nHost: x\r\n\r\n")));
     this->context.restart();
     this->context.run_for(std::chrono::milliseconds(60));
@@ -427,7 +430,7 @@
     CHECK(std::string(buffer.data(), size).find("Connection: close") != std::string::npos);
     asio::ip::tcp::socket late(this->context);
     late.connect({ asio::ip::address_v4::loopback(), this->port }, error);
-    CHECK_TEXT(error.value() != 0, "nobody new is taken");
+    CHECK_TEXT(error.value() != 0, "new connections are refused");
 }
 
 TEST(RequestDesk, AStopWaitsForARequestThatIsPartlyRead)
@@ -440,11 +443,11 @@
     this->context.restart();
     this->context.run_for(std::chrono::milliseconds(250));
     this->desk->sessions().closeIdle();
-    LONGS_EQUAL_TEXT(1, this->desk->sessions().unfinished(), "its body is on the way");
+    LONGS_EQUAL_TEXT(1, this->desk->sessions().unfinished(), "the rest of its body may still arrive");
 }
 
-// Beside a busy machine the thread comes late: the request is there, and only
-// the look at idle sessions goes before its reading.
+// On a busy machine the traffic thread may run late: a request has arrived, but
+// idle sessions are closed before it is read.
 TEST(RequestDesk, AStopDoesNotCloseASessionWhoseRequestIsNotYetRead)
 {
     this->configure();
@@ -457,7 +460,7 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(250));
     asio::write(socket, asio::buffer(std::string("GET /a HTTP/1.1\r\nHost: x\r\n\r\n")));
     this->desk->sessions().closeIdle();
-    LONGS_EQUAL_TEXT(1, this->desk->sessions().unfinished(), "its request waits to be read");
+    LONGS_EQUAL_TEXT(1, this->desk->sessions().unfinished(), "its request has arrived but is not read yet");
     this->context.restart();
     this->context.run_for(std::chrono::milliseconds(60));
     std::array<char, 4096> buffer{};
@@ -467,7 +470,7 @@
     CHECK(std::string(buffer.data(), size).find("HTTP/1.1 503") == 0);
 }
 
-TEST(RequestDesk, AConnectionThatRestsIsClosedByTheStop)
+TEST(RequestDesk, AStopClosesIdleConnections)
 {
     this->configure();
     this->desk->sessions().closeAfterAnswers();
@@ -479,7 +482,7 @@
     LONGS_EQUAL(0, this->desk->sessions().unfinished());
 }
 
-TEST(RequestDesk, ClosesAfterTheAnswerOnceItStops)
+TEST(RequestDesk, AStopClosesAfterTheAnswer)
 {
     this->configure();
     this->refuseAll();
--- a/Tests/Traffic/LastingFieldsTest.cpp
+++ b/Tests/Traffic/StableFieldsTest.cpp
@@ -1,4 +1,4 @@
-#include "Traffic/LastingFields.h"
+#include "Traffic/StableFields.h"
 #include "HeaderDialect.h"
 #include "Traffic/OwnTrafficDialect.h"
 
@@ -19,7 +19,7 @@
 
 const Fields Usual{ { "Host", "a.example" }, { "User-Agent", "app/1" }, { "Authorization", "Bearer x" } };
 
-/** A request that comes again, or another one. */
+/** Header fields, and whether the request with them counts as a repetition of the usual one. */
 struct Case {
     const char* name;
     Fields fields;
@@ -29,15 +29,15 @@
 const std::vector<Case> Cases{
     { "the same", Usual, true },
     { "another order", { { "Authorization", "Bearer x" }, { "User-Agent", "app/1" }, { "Host", "a.example" } }, true },
-    { "names in other letters", { { "user-agent", "app/1" }, { "AUTHORIZATION", "Bearer x" } }, true },
+    { "names in upper and lower case", { { "user-agent", "app/1" }, { "AUTHORIZATION", "Bearer x" } }, true },
     { "another caller", { { "User-Agent", "app/1" }, { "Authorization", "Bearer y" } }, false },
     { "no caller", { { "User-Agent", "app/1" } }, false },
-    { "values changed over", { { "User-Agent", "Bearer x" }, { "Authorization", "app/1" } }, false },
-    { "of the connection",
+    { "values exchanged between fields", { { "User-Agent", "Bearer x" }, { "Authorization", "app/1" } }, false },
+    { "with hop-by-hop fields",
         { { "User-Agent", "app/1" }, { "Authorization", "Bearer x" }, { "Connection", "close" },
             { "Keep-Alive", "timeout=5" }, { "Content-Length", "0" } },
         true },
-    { "of the attempt",
+    { "with fields of one attempt",
         { { "User-Agent", "app/1" }, { "Authorization", "Bearer x" }, { "Traceparent", "00-1-2-01" },
             { "Date", "now" } },
         true },
@@ -53,29 +53,29 @@
 
 }
 
-TEST_GROUP(LastingFields){};
+TEST_GROUP(StableFields){};
 
-TEST(LastingFields, AreTheSameWhenTheRequestComesAgain)
+TEST(StableFields, AreTheSameForARepeatedRequest)
 {
     const OwnTrafficDialect dialect;
-    const std::uint64_t usual = lastingFieldsOf(requestWith(Usual), dialect);
+    const std::uint64_t usual = hashStableFields(requestWith(Usual), dialect);
     for (const Case& item : Cases)
-        CHECK_EQUAL_TEXT(item.isSame, usual == lastingFieldsOf(requestWith(item.fields), dialect), item.name);
+        CHECK_EQUAL_TEXT(item.isSame, usual == hashStableFields(requestWith(item.fields), dialect), item.name);
 }
 
-TEST(LastingFields, EachFormLeavesOutItsIdsAndDeadlines)
+TEST(StableFields, ExcludeIdsAndDeadlinesOfEachDialect)
 {
     const OwnTrafficDialect own;
     const platform::HeaderDialect users;
-    const std::uint64_t usual = lastingFieldsOf(requestWith(Usual), own);
+    const std::uint64_t usual = hashStableFields(requestWith(Usual), own);
     for (const char* name : { "Burlreach-Request-Id", "Burlreach-Deadline-Milliseconds" }) {
         HttpRequest request = requestWith(Usual);
         request.insert(name, "1");
-        CHECK_TEXT(usual == lastingFieldsOf(request, own), name);
+        CHECK_TEXT(usual == hashStableFields(request, own), name);
     }
     for (const char* name : { "Request-Id", "Deadline-Ms" }) {
         HttpRequest request = requestWith(Usual);
         request.insert(name, "1");
-        CHECK_TEXT(usual == lastingFieldsOf(request, users), name);
+        CHECK_TEXT(usual == hashStableFields(request, users), name);
     }
 }
--- a/Tests/Traffic/UnreadFieldsTest.cpp
+++ b/Tests/Traffic/UnreadFieldsTest.cpp
@@ -13,14 +13,14 @@
 
 struct Case {
     const char* name;
-    std::vector<const char*> fields; // of one answer, the first of all
-    std::vector<const char*> told;
+    std::vector<const char*> fields; // of the first answer that is seen
+    std::vector<const char*> reported; // names that are reported
 };
 
 const std::vector<Case> Cases{
     { "fields of HTTP", { "Content-Type", "Retry-After", "Keep-Alive" }, {} },
     { "fields of the dialect", { "Burlreach-Load", "burlreach-not-run", "Burlreach-Request-Id" }, {} },
-    { "one that nothing reads", { "Burlreach-Load", "Server-Mood" }, { "Server-Mood" } },
+    { "an unknown field", { "Burlreach-Load", "Server-Mood" }, { "Server-Mood" } },
     { "the same twice", { "Server-Mood", "Server-Mood" }, { "Server-Mood" } },
 };
 
@@ -40,25 +40,25 @@
     UnreadFields unread;
 };
 
-TEST(UnreadFields, EachIsToldOnce)
+TEST(UnreadFields, AreReportedOnce)
 {
     for (const Case& item : Cases) {
         this->unread = {};
         const HttpResponse answer = answerWith(item.fields);
-        const auto told = this->unread.newOnes(answer, this->dialect);
-        LONGS_EQUAL_TEXT(item.told.size(), told.size(), item.name);
-        for (std::size_t index = 0; index < told.size(); ++index)
-            STRCMP_EQUAL_TEXT(item.told[index], told[index].name.c_str(), item.name);
-        LONGS_EQUAL_TEXT(0, this->unread.newOnes(answer, this->dialect).size(), item.name);
+        const auto reported = this->unread.findNew(answer, this->dialect);
+        LONGS_EQUAL_TEXT(item.reported.size(), reported.size(), item.name);
+        for (std::size_t index = 0; index < reported.size(); ++index)
+            STRCMP_EQUAL_TEXT(item.reported[index], reported[index].name.c_str(), item.name);
+        LONGS_EQUAL_TEXT(0, this->unread.findNew(answer, this->dialect).size(), item.name);
     }
 }
 
-TEST(UnreadFields, NamesThatAServerMakesUpAreBounded)
+TEST(UnreadFields, AreReportedUpToALimit)
 {
-    std::size_t told = 0;
+    std::size_t reported = 0;
     for (int number = 0; number < 1000; ++number) {
         const std::string name = "Mood-" + std::to_string(number);
-        told += this->unread.newOnes(answerWith({ name.c_str() }), this->dialect).size();
+        reported += this->unread.findNew(answerWith({ name.c_str() }), this->dialect).size();
     }
-    LONGS_EQUAL(32, told);
+    LONGS_EQUAL(32, reported);
 }
