--- a/Source/Node/CrashMessages.h
+++ b/Source/Node/CrashMessages.h
@@ -8,22 +8,22 @@
 
 namespace burlreach {
 
-/** An end of a server under a request, as instances tell it. */
+/** A server crash during a request, as exchanged between instances. */
 struct ToldEnd {
     RequestDigest digest;
     ServerEnd end;
 };
 
-/** A request that was answered, as instances tell it. */
+/** An answer to a request suspected of crashing servers, as exchanged between instances. */
 struct ToldAnswer {
     RequestDigest digest;
-    std::uint64_t caller = 0; // see callerNumber(); 0: only that some caller had an answer
+    std::uint64_t caller = 0; // see callerNumber(); 0: an answer to some caller, not known to which
     Milliseconds at;
 };
 
 void write(const ToldEnd& told, Milliseconds now, peers::ServerEnd& message);
 void write(const ToldAnswer& told, Milliseconds now, peers::RequestAnswered& message);
-/** Nothing when the message is damaged; its time is counted back from now. */
+/** Empty when the message is malformed. The time is computed from the message's age relative to now. */
 std::optional<ToldEnd> read(const peers::ServerEnd& message, Milliseconds now);
 std::optional<ToldAnswer> read(const peers::RequestAnswered& message, Milliseconds now);
 
--- a/Source/Node/CrashRecorder.cpp
+++ b/Source/Node/CrashRecorder.cpp
@@ -12,7 +12,7 @@
 
 using EndKey = std::tuple<std::string, std::uint64_t, std::uint32_t>;
 
-/** What is told, apart from the ages. */
+/** Identifies the crashes of a record independent of their ages, which change with every encoding. */
 std::set<EndKey> keysOf(const peers::CrashNews& crashes)
 {
     std::set<EndKey> keys;
@@ -35,7 +35,7 @@
 std::string writeKeptCrashes(const peers::CrashNews& crashes)
 {
     std::string text;
-    // A message of plain fields always has a text.
+    // Cannot fail: the message contains only scalar fields and lists of such messages.
     static_cast<void>(google::protobuf::util::MessageToJsonString(crashes, &text));
     return text;
 }
@@ -85,11 +85,12 @@
         this->backoff.reset();
         this->written
             = StoreItem{ .key = CrashesKey, .value = std::move(this->value), .revision = answer.at, .removed = false };
-        // Once more: it may have changed meanwhile.
+        // Check again: more crashes may have become known during the write.
         this->changed(now);
         return true;
     }
-    // After a conflict the watch brings what is there; without an answer it may bring what was written.
+    // Before the next try, the watch delivers the current item: after a conflict another instance's, after a lost
+    // answer possibly the one written here.
     this->dueAt = now + this->options.settle + this->backoff.next(*this->random);
     return true;
 }
--- a/Source/Node/CrashRecorder.h
+++ b/Source/Node/CrashRecorder.h
@@ -17,36 +17,37 @@
 /** The key under which requests that crash servers are kept, in every form of the store. */
 inline constexpr const char* CrashesKey = "burlreach/crashing-requests";
 
-/** As text, in the JSON mapping: the store's own form holds no other bytes. */
+/** Encodes as protobuf JSON, because the wire format of burlreach's own store is JSON and cannot hold binary values. */
 std::string writeKeptCrashes(const peers::CrashNews& crashes);
-/** Nothing when the value was not written by an instance. */
+/** Empty when the value is not a valid record. */
 std::optional<peers::CrashNews> readKeptCrashes(const std::string& value);
 
 /**
- * Writes requests under which servers ended into the store, when what is there
- * differs. Only the leading watcher writes, under the condition of the revision
- * that it knows; so one request that crashes servers costs the fleet one or two
- * calls.
+ * Keeps the store's record of requests that crash servers up to date.
+ *
+ * Writes when the record differs from what this instance knows. Only the
+ * leading watcher writes, conditionally on the revision that it has read, so a
+ * request that crashes servers costs the whole fleet one or two store calls.
  */
 class CrashRecorder {
 public:
     struct Options {
-        Milliseconds settle{ 200 }; // after a change: the second and the third end mostly come together
-        Milliseconds recheck{ 1000 }; // the leading watcher may be lost before it has written
+        Milliseconds settle{ 200 }; // delay after a change; the second and third crash usually come close together
+        Milliseconds recheck{ 1000 }; // the leading watcher may fail before it has written
         Milliseconds answerTimeout{ 1500 };
     };
 
     CrashRecorder(Options options, StoreCallNumbers& numbers, Random& random);
 
-    /** What is to be kept may differ from what the store holds. */
+    /** Schedules a check, because the known crashes may now differ from the stored record. */
     void changed(Milliseconds now);
     bool isDue(Milliseconds now) const { return !this->pending && now >= this->dueAt; }
-    /** The call, if one is needed; stored is the item in the store as known here, or null. */
+    /** The write to send, if one is needed. stored is this instance's copy of the stored item, or null. */
     std::optional<StoreRequest> next(
         const peers::CrashNews& kept, const StoreItem* stored, bool leads, Milliseconds now);
-    /** True when the answer belonged to a call of this object. */
+    /** True when the answer belongs to a call of this object. */
     bool answered(const StoreAnswer& answer, Milliseconds now);
-    /** What was written and acknowledged since the last call. */
+    /** The item written and acknowledged since the last call of this function. */
     std::optional<StoreItem> takeWritten() { return std::exchange(this->written, std::nullopt); }
     Milliseconds nextDue() const { return this->pending ? Never : this->dueAt; }
 
@@ -57,7 +58,7 @@
     Backoff backoff;
     Milliseconds dueAt = Never;
     StoreCallNumber pending = 0;
-    std::string value; // being written
+    std::string value; // of the pending write
     std::optional<StoreItem> written;
 };
 
--- a/Source/Node/CrashingRequests.cpp
+++ b/Source/Node/CrashingRequests.cpp
@@ -10,9 +10,12 @@
 constexpr std::string_view SeenHere = "here";
 constexpr std::string_view ToldByOthers = "news";
 constexpr std::string_view KeptInStore = "store";
-/** With so many ends a request is told at once and kept in the store: one end is met by most that are beside it. */
+/**
+ * Requests with at least this many counted crashes are forwarded at once and kept in the store. A single crash says
+ * little: it counts against every request in flight on that server.
+ */
 constexpr std::size_t EndsThatMatter = 2;
-/** Of a request; more than proves it. */
+/** Crashes of one request in the store record; three are enough to refuse it. */
 constexpr std::size_t MostEndsKept = 8;
 
 }
@@ -56,7 +59,7 @@
 void CrashingRequests::broke(
     const RequestState& request, const BackendServerState& server, Milliseconds now, Actions& actions)
 {
-    // One that was leaving ends as planned.
+    // A draining or leaving server ends as planned.
     if (!server.takesNewRequests())
         return;
     const BrokenAttempt attempt{ .digest = request.digest,
@@ -99,7 +102,7 @@
     case ServerCheck::CameUp:
         return this->broken.cameUp(event.backendServer, now);
     case ServerCheck::NoAnswer:
-        // A cut breaks connections as well.
+        // A network failure breaks connections as well, so nothing is known about the process.
         return this->broken.forget(event.backendServer);
     }
 }
@@ -173,7 +176,7 @@
 void CrashingRequests::write(std::vector<ToldEnd> ends, std::span<const CrashTable::Answer> answers, Milliseconds now,
     peers::CrashNews& message) const
 {
-    // Where there are too many, those that come nearest to a proof go first.
+    // If the message cannot hold all, the requests closest to being refused go first.
     std::stable_sort(ends.begin(), ends.end(), [this](const ToldEnd& left, const ToldEnd& right) {
         return this->table.countedEnds(left.digest) > this->table.countedEnds(right.digest);
     });
@@ -229,7 +232,7 @@
         const auto ends = this->table.ends(digest);
         for (const ServerEnd& end : ends.first(std::min(ends.size(), MostEndsKept)))
             burlreach::write(ToldEnd{ .digest = digest, .end = end }, now, *message.add_ends());
-        // Else whoever reads it would take the ends of several callers for a proof against all.
+        // Without the answer, a reader would take crashes from several callers as proof against all callers.
         if (this->table.answeredAt(digest) != LongAgo)
             burlreach::write(
                 ToldAnswer{ .digest = digest, .at = this->table.answeredAt(digest) }, now, *message.add_answers());
@@ -275,7 +278,7 @@
 
 void CrashingRequests::tick(Milliseconds now)
 {
-    // An instance without others tells nobody.
+    // A single instance sends no reports, so fillWithOwn() does not drop old entries there.
     this->forgetTold(now);
     const std::size_t before = this->table.size();
     this->table.expire(now);
--- a/Source/Node/CrashingRequests.h
+++ b/Source/Node/CrashingRequests.h
@@ -18,66 +18,79 @@
 namespace burlreach {
 
 /**
- * Which requests are known to end the backend servers that run them: as seen
- * here, as other instances tell it, and as it is kept in the store.
+ * Detects requests that crash the backend servers that run them, so that they
+ * are refused before they crash more.
  *
- * Ends travel with hellos and news, at once when two servers ended under a
- * request; what concerns two or more is kept in the store as well (see
- * CrashRecorder), for instances that begin, stood still or were cut off. Without
- * it one request that came again every 160 ms at three instances ended the seven
- * servers of its service 47 times in 20 s; with it fleets of 3 to 473 instances
- * lose three to eight servers (CrashingRequest test).
+ * Input: connections that break before an answer, followed by a check whether
+ * the server's process has ended; reports from other instances; and the record
+ * in the store. CrashTable decides from these crashes which requests are
+ * refused. An answer from a server clears the request.
+ *
+ * Output: crashes seen here are sent to other instances with hellos and gossip
+ * updates, immediately after each crash. Requests with two or more counted
+ * crashes are also kept in the store (see CrashRecorder), for instances that
+ * start, were suspended or were cut off from their peers.
+ *
+ * Without this exchange, a request repeated every 160 ms at three instances
+ * crashed the seven servers of its service 47 times in 20 s; with it, fleets of
+ * 3 to 473 instances lose three to eight servers.
  */
 class CrashingRequests {
 public:
     struct Options {
         CrashTable::Options table;
-        /** An end is told so long after it: five hellos, and longer than an instance takes to find new watchers. */
+        /** A crash is reported for this long: five hellos, and longer than an instance needs to find new watchers. */
         Milliseconds toldFor{ 6000 };
-        Milliseconds tellGap{ 150 }; // between two tellings at once, when many servers end together
-        std::size_t mostTold = 12; // ends in a message, some 0.8 KB as worked out; three watchers tell all, each 1.2 s
-        std::size_t mostKept = 64; // requests kept in the store: 8 ends of each take some 32 KB, worked out
+        Milliseconds tellGap{ 150 }; // minimum interval between immediate reports when many servers crash together
+        std::size_t mostTold = 12; // crashes in a message, about 0.8 KB; three watchers each send one every 1.2 s
+        std::size_t mostKept = 64; // requests in the store record; with 8 crashes each about 32 KB
     };
 
     CrashingRequests(Options options, DecisionCounters& counters);
 
-    /** It may not be sent to any server now. */
+    /** True when the request must not be sent to any server now. */
     bool isRefused(const RequestState& request, Milliseconds now) const;
-    /** For how long from now on. */
+    /** The time from now until the request may be sent again. */
     Milliseconds refusedFor(const RequestState& request, Milliseconds now) const;
-    /** Servers ended under it: it has one attempt at a time. */
+    /** True when a server crashed during this request; such a request is not hedged. */
     bool isSuspect(const RequestState& request) const { return !this->table.ends(request.digest).empty(); }
-    /** One more server would be the third or a later one, if those that broke just now have ended. */
+    /**
+     * True when the known crashes, together with broken connections whose servers are still being checked, may be
+     * enough to refuse the request; a retry could then crash one server more than needed.
+     */
     bool mayHaveProof(const RequestState& request) const;
 
     void sent(const RequestState& request, Milliseconds now);
-    /** The connection of an attempt broke before its answer. */
+    /** The connection of an attempt broke before the answer. */
     void broke(const RequestState& request, const BackendServerState& server, Milliseconds now, Actions& actions);
-    /** A server gave its whole answer. */
+    /** A server answered the request completely. */
     void answered(const RequestState& request, Milliseconds now, Actions& actions);
     void checked(const ServerChecked& event, Milliseconds now, Actions& actions);
-    /** Another life of the server is there, or its record is gone: the process of before has ended. */
+    /** The server has a new life, or its record was removed: the earlier process has ended. */
     void replaced(const std::string& backendServer, Milliseconds now, Actions& actions);
 
-    /** What was seen here lately, for those that pass it on. */
+    /** Recent crashes seen by this instance, for watchers, which forward them. */
     void fillWithOwn(peers::CrashNews& message, Milliseconds now);
-    /** What was seen or heard lately, for all. */
+    /** Recent crashes seen here or reported by others, for all instances. */
     void fillWithAll(peers::CrashNews& message, Milliseconds now) const;
-    /** What others tell; with passesOn they did not tell all, and two ends or more are told on at once. */
+    /**
+     * Merges a report from another instance. With passesOn the sender has not informed the whole fleet, so requests
+     * with two or more counted crashes are forwarded at once.
+     */
     void receive(const peers::CrashNews& message, bool passesOn, Milliseconds now, Actions& actions);
-    /** What is to be kept in the store. */
+    /** The record to keep in the store. */
     peers::CrashNews kept(Milliseconds now) const;
     void takeKept(const peers::CrashNews& message, Milliseconds now, Actions& actions);
-    /** True once after what is to be kept may have changed. */
+    /** True once after the record to keep in the store may have changed. */
     bool takeChanged();
-    /** Looks a second time at servers that may still be ending. */
+    /** Starts the second check of servers whose first check succeeded; their processes may still be ending. */
     void lookAgain(Milliseconds now, Actions& actions);
-    /** Forgets what is over. */
+    /** Drops expired crashes and answers. */
     void tick(Milliseconds now);
 
-    /** When others should hear of it; Never when there is nothing to tell at once. */
+    /** When to send a report to other instances; Never when none is urgent. */
     Milliseconds nextTelling() const { return this->tellAt; }
-    /** When a telling or a second look is due. */
+    /** When a report or a second check is due. */
     Milliseconds nextDue() const { return std::min(this->tellAt, this->broken.nextLook()); }
     void told(Milliseconds now);
 
@@ -87,11 +100,11 @@
 private:
     static CallersRequest keyOf(const RequestState& request);
     void serverEnded(const std::string& backendServer, Milliseconds now, Actions& actions);
-    /** An end that was not known; tells when it proves that the request crashes servers. */
+    /** Handles a crash that was not known before; logs when it makes the request count as crashing. */
     void learned(const RequestDigest& digest, bool wasCrashing, std::string_view heardFrom, Actions& actions);
     void cleared(const RequestDigest& digest, std::string_view heardFrom, Actions& actions);
     void tellSoon(Milliseconds now);
-    /** What was seen here so long ago that it is not told any more. */
+    /** Drops own crashes and answers that are too old to be reported. */
     void forgetTold(Milliseconds now);
     std::vector<ToldEnd> endsSince(Milliseconds from) const;
     void write(std::vector<ToldEnd> ends, std::span<const CrashTable::Answer> answers, Milliseconds now,
@@ -101,7 +114,7 @@
     DecisionCounters* counters;
     CrashTable table;
     BrokenAttempts broken;
-    std::vector<ToldEnd> ownEnds; // seen here, as long as they are told
+    std::vector<ToldEnd> ownEnds; // seen by this instance and still reported
     std::vector<CrashTable::Answer> ownAnswers;
     bool hasChanged = false;
     Milliseconds tellAt = Never;
--- a/Source/Node/CustomerGate.h
+++ b/Source/Node/CustomerGate.h
@@ -11,19 +11,19 @@
 
 namespace burlreach {
 
-/** Whose a request is, by the configuration that was looked at last. */
+/** The customer of a request according to the configuration at the last check. */
 struct CallerIdentity {
-    std::optional<RefusalReason> problem; // why it must not be sent
-    std::string customer; // empty: nobody's
-    bool isKeyKept = false; // there are customers, so no key goes on to backend servers
-    std::optional<std::uint32_t> rank; // of its customer
-    std::uint64_t judgedBy = 0; // the number of that configuration on this instance
+    std::optional<RefusalReason> problem; // set when the request must be refused
+    std::string customer; // empty: no customer
+    bool isKeyKept = false; // do not forward the caller's key to backend servers; true if customers are configured
+    std::optional<std::uint32_t> rank; // of the customer
+    std::uint64_t judgedBy = 0; // this instance's number of the configuration used for the check
 };
 
-/** Decides by its key whether a request may be sent, and whose it is. */
+/** Identifies the customer of a request by its key. */
 class CustomerGate {
 public:
-    /** Where there are customers, a request needs the key of one unless its route is public. */
+    /** If any customers are configured, a request needs a valid key unless its route is public. */
     static CallerIdentity judge(const CustomerTable& customers, const Route& route, const Credential& credential);
 };
 
--- a/Source/Node/LoadView.h
+++ b/Source/Node/LoadView.h
@@ -7,7 +7,7 @@
 
 namespace burlreach {
 
-/** What this instance knows of the backend servers of a service, as operators are shown it. */
+/** This instance's view of the backend servers of a service and their load, for the operators' tool. */
 v1::ShowLoadAnswer loadView(const ServiceTable& services, const std::string& service, Milliseconds now);
 
 }
--- a/Source/Node/QuotaDesk.cpp
+++ b/Source/Node/QuotaDesk.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** Of the wait told to another instance; longer ones are told as this. */
+/** Upper bound of the waiting time sent to another instance, in milliseconds. */
 constexpr double LongestWaitTold = 60000;
 
 }
@@ -70,7 +70,7 @@
 
 bool QuotaDesk::mayStillSend(RequestState& request, Milliseconds now)
 {
-    // One that may have run has used its credit.
+    // Credit counts as used once an attempt may have run, so a retry needs no new credit.
     if (!request.creditAt || request.history.mayHaveRun || now - *request.creditAt < CreditLife)
         return true;
     const Customer* customer = this->customerOf(request);
--- a/Source/Node/QuotaDesk.h
+++ b/Source/Node/QuotaDesk.h
@@ -21,9 +21,13 @@
 class NewsExchange;
 
 /**
- * Keeps customers within their limits over the whole fleet: joins the credit
- * that this instance wants, the credit that it grants when the store names it
- * for that, and the messages between the two.
+ * Enforces customers' request quotas across the whole fleet.
+ *
+ * A request of a limited customer needs credit. CreditDesk collects the credit
+ * that this instance needs and asks the instance named as grantor in the store.
+ * GrantorTenure decides whether this instance is the grantor, and CreditGrants
+ * limits what it grants. This class connects the three and sends the messages
+ * between instances.
  */
 class QuotaDesk {
 public:
@@ -32,7 +36,7 @@
         QuotaBound bound;
     };
 
-    /** All outlive this object. */
+    /** All must outlive this object. */
     struct Parts {
         const ServiceTable* services = nullptr;
         const StoreKeeper* store = nullptr;
@@ -44,24 +48,24 @@
 
     QuotaDesk(const Options& options, Parts parts);
 
-    /** Credit for a request that comes now; an awaited one is settled by takeSettled(). */
+    /** Requests credit for a new request; an awaited decision is returned later by takeSettled(). */
     CreditDecision request(RequestState& request, Milliseconds now);
-    /** Before a send: true when its credit still counts, or there is other credit for it here. */
+    /** Checked before each send: true when the request's credit is still valid or can be replaced without waiting. */
     bool mayStillSend(RequestState& request, Milliseconds now);
-    /** The request is over, with or without having reached a backend server. */
+    /** The request has ended; credit that it did not use is returned. */
     void ended(const RequestState& request, Milliseconds now);
-    /** Asks for credit that is wanted; to be called after requests came. */
+    /** Asks the grantor for outstanding credit; to be called after new requests. */
     void askForCredit(Milliseconds now, Actions& actions);
-    /** Requests whose credit was decided since the last call. */
+    /** The decisions made since the last call of this function. */
     std::vector<CreditDesk::Settled> takeSettled() { return std::exchange(this->settled, {}); }
 
     void receive(const peers::PeerMessage& message, Milliseconds now, Actions& actions);
     void tick(Milliseconds now) { this->add(this->desk.tick(now)); }
     Milliseconds nextDue() const { return this->desk.nextDue(); }
 
-    /** How many instances there are at least. */
+    /** Sets the minimum size of the fleet; empty while it is not known. */
     void setInstances(std::optional<std::size_t> count) { this->desk.setInstances(count); }
-    /** The call to the store that names this instance, or gives the naming up, if one is needed. */
+    /** The store call that claims or releases the grantor role for this instance, if one is needed. */
     std::optional<StoreRequest> nextCall(bool isStopping, Milliseconds now);
     bool answered(const StoreAnswer& answer, Milliseconds now) { return this->tenure.answered(answer, now); }
     std::optional<StoreItem> takeWritten() { return this->tenure.takeWritten(); }
--- a/Source/Node/RefusalRules.h
+++ b/Source/Node/RefusalRules.h
@@ -8,24 +8,28 @@
 namespace burlreach {
 
 /**
- * Why a request that found no server is refused now rather than kept waiting:
- * nothing that is known can change in the time that it may wait. Nothing when
- * waiting may help.
+ * The reason to refuse a request that found no server at once instead of
+ * queueing it, because no server can become available while it may wait.
+ * Empty when waiting may help.
  */
 std::optional<RefusalReason> refusedAtOnce(const RequestState& request, NoChoice choice, Milliseconds now);
 
-/** Why a request that has waited as long as it may is refused. */
+/** The reason to refuse a request whose waiting time in the queue is over. */
 RefusalReason whyNobodyTook(const RequestState& request);
 
-/** After the last attempt ended like this. */
+/** The reason to refuse a request whose last attempt had this result. */
 RefusalReason reasonAfter(AttemptResult result);
 
-/** False for an error answer whose status would promise without a proof that a run-once request has not run. */
+/**
+ * Whether a server's error answer may be passed to the caller. False for a run-once request when the status code would
+ * state, without proof, that the request did not run.
+ */
 bool mayBePassed(const Route& route, const AttemptEnd& end);
 
 /**
- * When the caller of a request that servers did not take should come back; not
- * before the end of a pause that all of them asked for. The random part is 0 to 1.
+ * The retry-after time for a refused request. It is not before the end of a
+ * pause that all servers asked for, or before the next send permit. The random
+ * value is from 0 to 1 and spreads the callers' retries.
  */
 Milliseconds comeBackOf(const RequestState& request, RefusalReason reason, double random, Milliseconds now);
 
--- a/Source/Node/RepeatLookup.h
+++ b/Source/Node/RepeatLookup.h
@@ -4,11 +4,11 @@
 
 namespace burlreach {
 
-/** Tells what the configuration in force says of repeating a request. */
+/** Looks up in the active configuration whether a request may run more than once. */
 class RepeatLookup {
 public:
     virtual ~RepeatLookup() = default;
-    /** False also while there is no route; the path may carry a query. Safe from any thread. */
+    /** Also false when no route matches. The path may include a query. Thread-safe. */
     virtual bool mayRepeat(std::string_view host, std::string_view method, std::string_view path) const = 0;
 };
 
--- a/Source/Node/RequestFlow.cpp
+++ b/Source/Node/RequestFlow.cpp
@@ -12,9 +12,12 @@
 
 namespace {
 
-/** Ranks beyond are taken for this one. */
+/** Higher ranks are treated as this one. */
 constexpr std::uint32_t LastRank = 1000;
-/** Between two looks at a silent request: a timer each is cheap, also where answers take less than a millisecond. */
+/**
+ * Lower bound of the time between two hedge checks of the same request. It keeps the number of timers small where
+ * answers take less than a millisecond.
+ */
 constexpr Milliseconds ShortestHedgeInterval{ 20 };
 
 }
@@ -30,7 +33,8 @@
 
 std::uint32_t RequestFlow::placeOf(const RequestState& request)
 {
-    // A late one at the front must not hold up those that may take more.
+    // A late request may be sent only to lightly loaded servers. At the front of the queue it would block requests that
+    // may go to busier ones.
     const std::uint32_t customerRank = std::min(request.identity.rank.value_or(request.route->rank), LastRank);
     const std::uint32_t rank = customerRank * (LastRank + 1) + std::min(request.route->rank, LastRank);
     return rank * 2 + (request.isLate ? 1 : 0);
@@ -39,7 +43,8 @@
 void RequestFlow::arrived(const RequestArrived& event, Milliseconds now, Actions& actions)
 {
     this->parts.counters->add(DecisionCount::RequestsArrived);
-    // A change that was told by itself may lack others, such as that a data centre is emptied.
+    // Until the store has been read in full, a single change received by gossip may be all that is known, and others
+    // may be missing, for example that a data centre is emptied.
     if (!this->parts.services->isConfigured() || !this->parts.store->view().revision())
         return this->refuseUnrouted(event, RefusalReason::NotReady, actions);
     auto route = this->parts.services->route(event.host, event.method, event.path);
@@ -138,7 +143,7 @@
     if (!isLateCaller(request.spent, service.expectedTime(*request.route), request.route->targetLatency))
         return;
     this->parts.counters->add(DecisionCount::LateCallers);
-    // Some go with the others: nobody waits for ever, however long the overload lasts.
+    // A small share of late requests is queued as if in time, so that none starve during a long overload.
     request.isLate = !service.lateAsFresh.take();
 }
 
@@ -210,12 +215,12 @@
         if (found == this->requests.end())
             continue;
         RequestState& request = found->second;
-        // After a suspension its time may be long over: a server would work for nobody.
+        // The deadline may have passed while this process was suspended; a server's work would be wasted.
         if (now >= request.deadline) {
             this->refuse(request, RefusalReason::DeadlinePassedWaiting, now, actions);
             continue;
         }
-        // It may have become known while the request waited.
+        // Keys, quotas and known crashes may have changed while the request was queued.
         if (const auto reason = this->whyNotSent(request, now)) {
             this->refuse(request, *reason, now, actions);
             continue;
@@ -232,7 +237,8 @@
             continue;
         }
         held.push_back(*number);
-        // Another one may still be in time where this one would be late.
+        // Slow and Unheard depend on the time left: another request may still be answered in time. With any other
+        // reason the rest of the queue cannot be sent either.
         if (choice.reason != NoChoice::Slow && choice.reason != NoChoice::Unheard)
             break;
     }
@@ -331,7 +337,7 @@
 
 void RequestFlow::decideAfter(RequestState& request, const AttemptEnded& event, Milliseconds now, Actions& actions)
 {
-    // Another attempt may still bring a good answer; while only one is left it may be silent for good.
+    // Another attempt may still succeed. It may also never be answered, so a new hedge is allowed.
     if (!request.flights.empty()) {
         request.hedged = false;
         request.hedgeAt = this->options.hedges ? now + this->hedgePatience(request) : Never;
@@ -350,7 +356,8 @@
 {
     if (now >= request.deadline || !mayTryAgain(*request.route, request.history, end.result))
         return false;
-    // Another server would end for an answer that no other one could give; or the key was taken away meanwhile.
+    // A retry could crash another server with a request that no server can answer, or the request may no longer be
+    // sent, for example because its key was revoked.
     if (this->parts.crashes->mayHaveProof(request) || this->whyNotSent(request, now)) {
         this->parts.counters->add(DecisionCount::RetriesWithheld);
         actions.emplace_back(recordOfRequest(RecordTopic::Refusal, "retry_withheld", request));
@@ -387,7 +394,8 @@
     if (!mayHedge(*request.route, request.history) || this->parts.crashes->isSuspect(request)
         || this->judgeKey(request))
         return;
-    // Without a server or budget now it is looked at again: its answer may never come, and nothing else would tell.
+    // If no server or retry budget is available now, check again later: the first attempt may never be answered, and
+    // no other event would trigger a hedge.
     request.hedgeAt = now + std::max(this->hedgePatience(request), ShortestHedgeInterval);
     Choice choice = this->chooser.chooseForHedge(request, now);
     if (!choice.server || !request.service->retryBudget.takeForHedge(now))
@@ -459,7 +467,7 @@
 
 void RequestFlow::timedOut(RequestState& request, Milliseconds now, Actions& actions)
 {
-    // The servers are too slow for this request: that is a time-out of theirs too.
+    // The servers did not answer before the deadline, so the time-out counts against them as well.
     const AttemptEnd late{ .result = AttemptResult::TimedOut };
     const std::vector<Flight> flights = request.flights;
     for (const Flight& flight : flights)
--- a/Source/Node/RequestFlow.h
+++ b/Source/Node/RequestFlow.h
@@ -21,12 +21,18 @@
 namespace burlreach {
 
 /**
- * Takes each request from its arrival to its final answer: ask for load, wait,
- * send, retry, hedge, refuse.
+ * Carries each request from its arrival to its final answer.
  *
- * A run-once request is sent again only after a proof that it did not run, and
- * "not run" is said only with one. A request that is given up is answered at
- * once.
+ * On arrival the request is matched to a route and refused if the caller's key
+ * is not valid, no server may take it, or the queue of its service is full. It
+ * then gets quota credit, probes a few backend servers for their load, waits in
+ * the queue for a server with free capacity, and is sent. A failed attempt is
+ * retried and a slow one is hedged, as far as the route and the retry budget
+ * allow. The caller gets the first whole answer, or a refusal.
+ *
+ * A run-once request is sent again only after proof that it did not run, and
+ * the caller is told "not run" only with such proof. A request that cannot
+ * succeed any more is refused at once rather than kept until its deadline.
  */
 class RequestFlow {
 public:
@@ -34,14 +40,14 @@
         std::string dataCentre;
         bool probes = true;
         bool hedges = true;
-        bool freshFirst = true; // callers that can still be in time go before those that are late
-        ServerSearch::Options search; // the data centre comes from above
-        double waitShare = 0.22; // of the target latency that a request may wait for room
-        double hedgeAfter = 2.2; // in expected times
-        double latestHedge = 0.5; // of the target latency
+        bool freshFirst = true; // queue requests that can still meet their target ahead of late ones
+        ServerSearch::Options search; // its dataCentre is filled in from the field above
+        double waitShare = 0.22; // fraction of the target latency that a request may wait for a free server
+        double hedgeAfter = 2.2; // multiple of the expected response time after which a hedge starts
+        double latestHedge = 0.5; // upper bound of the hedge delay, as a fraction of the target latency
     };
 
-    /** The other parts that a request meets; all outlive this object. */
+    /** Collaborators; all must outlive this object. */
     struct Parts {
         ServiceTable* services = nullptr;
         ProbeDesk* probes = nullptr;
@@ -58,16 +64,16 @@
 
     void arrived(const RequestArrived& event, Milliseconds now, Actions& actions);
     void callerGone(const CallerGone& event, Milliseconds now, Actions& actions);
-    /** Gives the server that the attempt was sent to; null when nobody waits for its end any more. */
+    /** Returns the server that the attempt was sent to, or null when the request or the attempt is no longer open. */
     std::shared_ptr<BackendServerState> attemptEnded(const AttemptEnded& event, Milliseconds now, Actions& actions);
-    /** The figures of this backend server are there, or will not come. */
+    /** A load report of this backend server has arrived, or its probe has failed. */
     void figuresCame(const BackendServerState& server, Milliseconds now, Actions& actions);
-    /** Goes on with requests whose credit was decided. */
+    /** Continues requests whose quota credit has been granted or refused. */
     void creditDecided(Milliseconds now, Actions& actions);
-    /** Backend servers came, or have room again. */
+    /** Backend servers were added or have free capacity again: sends what is queued. */
     void capacityChanged(Milliseconds now, Actions& actions);
     void tick(Milliseconds now, Actions& actions);
-    /** When tick() is needed next. */
+    /** The time at which tick() must be called next. */
     Milliseconds nextDue(Milliseconds now) const;
     std::size_t openRequests() const { return this->requests.size(); }
 
@@ -76,15 +82,15 @@
 
     void refuseUnrouted(const RequestArrived& event, RefusalReason reason, Actions& actions) const;
     RequestState& open(const RequestArrived& event, std::shared_ptr<const Route> route, Milliseconds now);
-    /** The configuration may have changed since it was judged last. */
+    /** Checks the caller's key again if the routing configuration has changed since the last check. */
     std::optional<RefusalReason> judgeKey(RequestState& request) const;
-    /** Why it must not be sent now, whatever servers there are. */
+    /** The reason why the request must not be sent now, independent of which servers are available. */
     std::optional<RefusalReason> whyNotSent(RequestState& request, Milliseconds now) const;
     void takeCredit(RequestState& request, const CreditDecision& decision, Milliseconds now, Actions& actions);
-    /** Its customer may send it: the search for a server begins. */
+    /** Starts the search for a server, once quota credit has been granted. */
     void begin(RequestState& request, Milliseconds now, Actions& actions);
     void judgeCaller(RequestState& request) const;
-    /** Its rank in the queue: within a route's rank the late ones come last. */
+    /** The queue position; among requests of equal rank, late ones come last. */
     static std::uint32_t placeOf(const RequestState& request);
     void enqueue(RequestState& request, Milliseconds now, Actions& actions);
     void pump(ServiceState& service, Milliseconds now, Actions& actions);
@@ -94,7 +100,7 @@
         RequestState& request, const Flight& flight, const AttemptEnd& end, Milliseconds now, Actions& actions) const;
     void decideAfter(RequestState& request, const AttemptEnded& event, Milliseconds now, Actions& actions);
     bool tryAgain(RequestState& request, const AttemptEnd& end, Milliseconds now, Actions& actions);
-    /** From the sending, or from the last look, to the look whether a second attempt should begin. */
+    /** The delay from sending, or from the last check, until the next check whether to start a hedge. */
     Milliseconds hedgePatience(const RequestState& request) const;
     void hedge(RequestState& request, Milliseconds now, Actions& actions);
     void pass(RequestState& request, const Flight& flight, const AttemptEnd& end, Milliseconds now, Actions& actions);
--- a/Source/Node/RequestRecords.cpp
+++ b/Source/Node/RequestRecords.cpp
@@ -53,7 +53,7 @@
         .with("result", burlreach::nameOf(end.result))
         .with("status", static_cast<std::uint64_t>(end.status))
         .with("took", (now - flight.sentAt).count);
-    // The server may have ended under it: whoever looks for the cause needs to know the same request again.
+    // The server may have crashed while running the request; these fields identify the same request in other records.
     if (end.result == AttemptResult::Broken)
         record.with("path", request.path).with("caller", request.caller).with("digest", request.digest.text());
     return record;
--- a/Source/Node/RequestRecords.h
+++ b/Source/Node/RequestRecords.h
@@ -9,18 +9,18 @@
 
 namespace burlreach {
 
-/** What a choice rested on, as far as it is the same for all requests. */
+/** The state of this instance's knowledge when a server was chosen. */
 struct KnowledgeUsed {
-    std::uint64_t version = 0; // of the configuration in force
-    Milliseconds confirmedAt; // since when what is known of the store may be old
+    std::uint64_t version = 0; // of the active configuration
+    Milliseconds confirmedAt; // when the view of the store was last known to be current
 };
 
-/** A record of a decision on a request, with its id and route. */
+/** A log record of a decision on a request, with the request's id and route. */
 DecisionRecord recordOfRequest(RecordTopic topic, std::string_view event, const RequestState& request);
 
-/** A request that no route takes, or that came before the first configuration. */
+/** For a request that matches no route or arrived before the first configuration. */
 DecisionRecord recordOfUnrouted(const RequestArrived& event, RefusalReason reason, std::uint64_t version);
-/** An attempt is sent to a backend server, with the figures that chose it. */
+/** For an attempt sent to a backend server, with the load data on which the choice was based. */
 DecisionRecord recordOfSent(
     const RequestState& request, const BackendServerState& server, const KnowledgeUsed& used, Milliseconds now);
 DecisionRecord recordOfFailed(
--- a/Source/Node/RequestState.h
+++ b/Source/Node/RequestState.h
@@ -16,22 +16,22 @@
 namespace burlreach {
 
 enum class RequestPhase {
-    AwaitingCredit, // its customer has a limit, and the instance that grants credit is asked
-    Asking, // waits for the load figures of a few backend servers
-    Waiting, // waits for a backend server with room
-    Sending // one or more attempts are under way
+    AwaitingCredit, // its customer has a quota, and the granting instance has been asked for credit
+    Asking, // waits for load reports of a few backend servers
+    Waiting, // waits in the queue for a backend server with free capacity
+    Sending // one or more attempts are in flight
 };
 
-/** While backend servers rest after refusals, the queue is looked at this often. */
+/** Interval at which waiting requests are retried: no event is raised when a server's pause after a refusal ends. */
 inline constexpr Milliseconds PumpInterval{ 10 };
 
-/** An attempt under way. */
+/** An attempt in flight. */
 struct Flight {
     AttemptNumber attempt = 0;
     std::shared_ptr<BackendServerState> server;
     Milliseconds sentAt;
-    bool isUnhindered = false; // the server had said that it had room and was not slow
-    bool hadRoom = false; // as far as was known here, the server had a slot for it
+    bool isUnhindered = false; // the server's last load report showed free slots and no slowness
+    bool hadRoom = false; // to this instance's knowledge, the server had a free slot for it
 };
 
 /** A request from its arrival to its final answer. */
@@ -47,18 +47,18 @@
     std::shared_ptr<ServiceState> service;
     RequestPhase phase = RequestPhase::Waiting;
     Milliseconds arrivedAt;
-    Milliseconds deadline; // the final answer is due
-    Milliseconds waitUntil; // then it is refused rather than kept waiting
+    Milliseconds deadline; // for the final answer
+    Milliseconds waitUntil; // refused if not sent by then
     Milliseconds hedgeAt = Never;
     AttemptHistory history;
     unsigned attempts = 0;
     bool hedged = false;
-    bool wantsTarget = false; // it is for the version of its service that is tried
-    std::optional<Milliseconds> timeLeft; // as its caller told it when it came
-    std::optional<Milliseconds> creditAt; // when credit for it was granted, unless it needs none
-    std::optional<Milliseconds> comeBackAfter; // known better than by the reason of a refusal
-    Milliseconds spent; // by its caller before it came here, as far as its time left tells
-    bool isLate = false; // its caller can hardly be in time any more
+    bool wantsTarget = false; // selected for the new version of a roll-out
+    std::optional<Milliseconds> timeLeft; // until the caller's deadline, as sent with the request
+    std::optional<Milliseconds> creditAt; // when quota credit was granted; empty if none is needed
+    std::optional<Milliseconds> comeBackAfter; // retry-after time, overrides the default of the refusal reason
+    Milliseconds spent; // by its caller on earlier attempts, estimated from timeLeft
+    bool isLate = false; // unlikely to be answered within its target latency
     std::vector<Flight> flights;
     std::vector<std::shared_ptr<BackendServerState>> tried;
     RequestSearch search;
--- a/Source/Node/ServerChooser.cpp
+++ b/Source/Node/ServerChooser.cpp
@@ -11,18 +11,19 @@
 namespace {
 
 /**
- * Requests of callers that are late already go only to servers with less than
- * this share of their limit taken. So under overload those that can still be in
- * time go first, at all instances without a word between them. Share in time
- * with it and without: 0.56 and 0.42 in a rush, 0.35 and 0.20 at 1.5 times the
- * load that the servers can bear (Benchmarks, crowded-rush, crowded-overload).
+ * Late requests are sent only to servers that use less than this fraction of
+ * their concurrency limit. Under overload this gives priority to requests that
+ * can still meet their target, on all instances without coordination. Fraction
+ * of requests answered within their target, with and without this rule: 0.56
+ * and 0.42 during a load spike, 0.35 and 0.20 at 1.5 times the servers'
+ * capacity.
  */
 constexpr double LimitOfLate = 0.6;
 /**
- * A hedge goes only to a server with this share of its limit taken or less:
- * where all are busy it would take the place of a first try. Share in time with
- * it and without: 0.59 and 0.56 in a rush, 0.70 and 0.69 with four of ten
- * servers lost (Benchmarks, crowded-rush and crowded-loss).
+ * A hedge is sent only to a server that uses at most this fraction of its
+ * concurrency limit; on busy servers it would displace first attempts. Fraction
+ * of requests answered within their target, with and without this rule: 0.59
+ * and 0.56 during a load spike, 0.70 and 0.69 with four of ten servers down.
  */
 constexpr double LimitOfHedge = 0.6;
 
@@ -41,7 +42,7 @@
     return { .now = now,
         .dataCentre = this->options.dataCentre,
         .expected = request.service->expectedTime(*request.route),
-        // A version that is tried gets no more than first attempts.
+        // The new version of a roll-out gets first attempts only.
         .wantsTarget = request.wantsTarget && request.tried.empty() };
 }
 
@@ -94,7 +95,7 @@
 
 bool ServerChooser::holdBack(RequestState& request, Milliseconds now, Actions& actions) const
 {
-    // After the hold any server will do: it is sent rather than refused.
+    // When the hold ends the request is sent to any available server, so it must not be refused before that.
     request.waitUntil = std::max(request.waitUntil, request.search.holdUntil + PumpInterval * 2);
     const bool isAsking = !request.search.asked.empty() && now < request.search.askUntil;
     if (isAsking || !this->options.probes)
--- a/Source/Node/ServerChooser.h
+++ b/Source/Node/ServerChooser.h
@@ -11,16 +11,16 @@
 
 namespace burlreach {
 
-/** Finds the backend server for an attempt of a request, and asks servers for their load where that may help. */
+/** Chooses the backend server for an attempt, and probes servers for their load where that may improve the choice. */
 class ServerChooser {
 public:
     struct Options {
         std::string dataCentre;
         bool probes = true;
-        ServerSearch::Options search; // the data centre comes from above
+        ServerSearch::Options search; // its dataCentre is filled in from the field above
     };
 
-    /** All outlive this object. */
+    /** All must outlive this object. */
     struct Parts {
         ProbeDesk* probes = nullptr;
         Random* random = nullptr;
@@ -29,22 +29,22 @@
 
     ServerChooser(Options options, Parts parts);
 
-    /** Begins the search for a request that came; true when figures are awaited. */
+    /** Starts the search for a new request; true when load reports are awaited. */
     bool begin(RequestState& request, Milliseconds now, Actions& actions) const;
-    /** True when the figures of this server end what the request waits for. */
+    /** True when the request need not wait for further load reports after this server's report or failed probe. */
     bool isEnough(RequestState& request, const BackendServerState& server, Milliseconds now) const;
-    /** For a waiting request; while there is none others are asked as far as that may help. */
+    /** For a queued request. If no suitable server is known, probes further servers where that may help. */
     Choice chooseOrAsk(RequestState& request, Milliseconds now, Actions& actions) const;
-    /** For one more attempt, with what is known. */
+    /** For a retry, from the load reports at hand, without probing. */
     Choice chooseAgain(const RequestState& request, Milliseconds now) const;
-    /** For a second attempt beside one that is under way. */
+    /** For a second attempt while the first is still in flight. */
     Choice chooseForHedge(const RequestState& request, Milliseconds now) const;
 
 private:
     RoutingContext contextOf(const RequestState& request, Milliseconds now) const;
     ChoiceWish wishOf(const RequestState& request, Milliseconds now) const;
     bool askForFigures(RequestState& request, Milliseconds now, Actions& actions) const;
-    /** True when answers to questions are awaited. */
+    /** Keeps the request waiting for a better server; true while probe answers are awaited. */
     bool holdBack(RequestState& request, Milliseconds now, Actions& actions) const;
 
     Options options;
