--- a/Source/Node/RolloutDesk.cpp
+++ b/Source/Node/RolloutDesk.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** An answer that takes longer than the expected time by this factor is bad. */
+/** An answer that takes longer than the expected time multiplied by this is bad. */
 constexpr double SlowFactor = 4;
 
 bool isJudged(const AttemptEnd& end)
@@ -17,7 +17,7 @@
     return end.result != AttemptResult::Cancelled && !isProvedNotRun(end.result);
 }
 
-/** A server that is cold or crowded may be slow with any version. */
+/** False for a server that was cold or full: it may be slow whatever its version. */
 bool isOwnFault(const Flight& flight, Milliseconds now)
 {
     return flight.hadRoom && !flight.server->isCold(now);
@@ -103,7 +103,7 @@
 {
     VersionRule rule{ .use = VersionRule::Use::All, .target = rollout.order.targetVersion };
     if (rollout.state && rollout.state->phase == RolloutPhase::RolledBack && !rollout.hasState())
-        // Of an earlier order: its servers are to get nothing until they have left.
+        // An earlier order was rolled back. Servers of that version get no requests as long as they exist.
         return { .use = VersionRule::Use::Usual, .target = rollout.state->targetVersion };
     if (rollout.hasState()) {
         rule.target = rollout.state->targetVersion;
@@ -118,7 +118,7 @@
             rule.use = rollout.isOrdered() ? VersionRule::Use::Shared : VersionRule::Use::Usual;
         return rule;
     }
-    // Ordered, and nobody has begun: the version that is there serves on.
+    // Ordered but not started yet: the present version keeps all requests.
     const auto servers = service.pool.servers();
     const bool hasUsual = std::any_of(servers.begin(), servers.end(),
         [&](const auto& server) { return server->record().version != rule.target && server->takesNewRequests(); });
@@ -134,7 +134,7 @@
             const VersionRule rule = this->ruleOf(rollout, *service);
             if (rule == service->pool.versionRule())
                 continue;
-            // Instances begin at different points, so that few requests are shared evenly too.
+            // A random start on each instance keeps the share even when every instance has only a few requests.
             service->targetTurn = this->parts.random->unit();
             service->pool.setVersionRule(rule);
         }
@@ -161,7 +161,7 @@
 
 void RolloutDesk::overtaken(const RequestState& request, const Flight& flight, Milliseconds now)
 {
-    // Else hedges would hide a version that is slow.
+    // Otherwise hedging would hide a slow version.
     if (isOwnFault(flight, now))
         this->count(request, flight, true, now);
 }
@@ -357,7 +357,8 @@
         return false;
     this->pending = 0;
     if (answer.status != StoreStatus::Done) {
-        // After a conflict the watch brings what is there; without an answer it may bring what was written.
+        // Before the next try, the watch delivers the current item: after a conflict another instance's, after a lost
+        // answer possibly the one written here.
         this->lookAt = now + this->backoff.next(*this->parts.random);
         return true;
     }
--- a/Source/Node/RolloutDesk.h
+++ b/Source/Node/RolloutDesk.h
@@ -21,10 +21,13 @@
 class NewsExchange;
 
 /**
- * Brings services to new versions as operators order it. The state of each
- * roll-out lies in the store; the leading watcher writes it, under the condition
- * of the revision that it knows, by what all instances tell of the answers that
- * they saw. Every instance acts on the state that it knows.
+ * Moves services to new versions as ordered by operators.
+ *
+ * Every instance counts good and bad answers of the usual and the new version
+ * by route and sends the counts to the other instances. The leading watcher
+ * derives the next state of each roll-out from the sum (see RolloutPlan) and
+ * writes it to the store, conditionally on the revision that it has read. Every
+ * instance applies the last state that it knows to its choice of servers.
  */
 class RolloutDesk {
 public:
@@ -32,13 +35,13 @@
 
     struct Options {
         peers::Incarnation self;
-        Milliseconds interval{ 100 }; // between two looks of the leading watcher
-        Milliseconds tellInterval{ 100 }; // of what should be heard soon
-        Milliseconds heardWithin{ 4000 }; // instances that are silent for longer send nothing any more
+        Milliseconds interval{ 100 }; // between two evaluations by the leading watcher
+        Milliseconds tellInterval{ 100 }; // longest delay of an urgent report to other instances
+        Milliseconds heardWithin{ 4000 }; // instances silent for longer are taken to send no requests any more
         Milliseconds answerTimeout{ 1500 };
     };
 
-    /** All outlive this object. */
+    /** All must outlive this object. */
     struct Parts {
         ServiceTable* services = nullptr;
         const StoreKeeper* store = nullptr;
@@ -50,39 +53,39 @@
 
     RolloutDesk(const Options& options, Parts parts);
 
-    /** What operators ordered, as an item of the store says it. */
+    /** Takes over the operators' orders from a translated store item. */
     void ordered(const Facts& facts, Milliseconds now, Actions& actions);
-    /** The item holds the state of a roll-out. */
+    /** Takes over the state of a roll-out from its store item. */
     void stateChanged(const StoreItem& item, Milliseconds now, Actions& actions);
-    /** Services or backend servers changed: what is known of roll-outs holds for them. */
+    /** Updates the version rules of all services; to be called after services or backend servers have changed. */
     void apply();
 
-    /** True when the next request of the service is for the version that is tried. */
+    /** True when the next request of the service should go to the new version. */
     bool takeTurn(ServiceState& service) const;
-    /** An attempt has ended. */
+    /** Counts the result of an attempt. */
     void answered(const RequestState& request, const Flight& flight, const AttemptEnd& end, Milliseconds now);
-    /** An attempt took so long that a later one answered before it. */
+    /** Counts an attempt as bad because its hedge answered first. */
     void overtaken(const RequestState& request, const Flight& flight, Milliseconds now);
 
     void fill(Messages& messages) const;
     void receive(const peers::Incarnation& from, const Messages& messages, Milliseconds now);
-    /** When others should hear of what was seen here; Never when nothing is to be told at once. */
+    /** When to send this instance's counts to others; Never when none are urgent. */
     Milliseconds nextTelling() const { return this->tellAt; }
     void told() { this->tellAt = Never; }
 
     v1::ShowRolloutAnswer show(const std::string& service, Milliseconds now) const;
     std::optional<StoreRequest> nextCall(Milliseconds now);
-    /** True when the answer belonged to a call of this object. */
+    /** True when the answer belongs to a call of this object. */
     bool answered(const StoreAnswer& answer, Milliseconds now);
     std::optional<StoreItem> takeWritten() { return std::exchange(this->written, std::nullopt); }
     Milliseconds nextDue() const;
 
 private:
-    /** What an instance told last. */
+    /** The last report of an instance. */
     struct Told {
         Milliseconds at = LongAgo;
         StoreRevision stateRevision = 0;
-        std::uint32_t underWay = 0;
+        std::uint32_t underWay = 0; // attempts in flight at servers of the old version
     };
 
     struct Rollout {
@@ -96,7 +99,7 @@
         std::map<std::string, Told> told; // by instance
 
         bool isOrdered() const { return this->order.number && !this->order.isWithdrawn; }
-        /** The state belongs to the order that stands. */
+        /** True when the stored state belongs to the current order. */
         bool hasState() const { return this->state && this->state->order == this->order.number; }
         Milliseconds elapsed(Milliseconds now) const;
     };
@@ -105,7 +108,7 @@
     void order(const RolloutOrder& order, Milliseconds now, Actions& actions);
     VersionRule ruleOf(const Rollout& rollout, const ServiceState& service) const;
     std::uint32_t underWayAtUsual(const Rollout& rollout, const std::string& service) const;
-    /** The new version's servers that take requests, as a share of the others. */
+    /** Slots of the new version's servers that take requests, relative to those of all other servers. */
     double capacityOf(const Rollout& rollout, const std::string& service) const;
     bool isOldIdle(const Rollout& rollout, const std::string& service, Milliseconds now) const;
     std::optional<StoreRequest> nextCallFor(const std::string& service, Rollout& rollout, Milliseconds now);
--- a/Source/Node/ServerLimits.cpp
+++ b/Source/Node/ServerLimits.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-/** In one message, the latest heard first: 4 KB. */
+/** Statements in one message, the latest first: about 4 KB. */
 constexpr std::size_t MostTold = 100;
-/** Of times told to other instances. */
+/** Upper bound of durations sent to other instances, in milliseconds. */
 constexpr double LongestTold = 60000;
-/** Requests a second; keeps intervals finite. */
+/** Requests per second. Limits are capped at this, so that intervals between permits stay finite and above zero. */
 constexpr double HighestLimit = 1e6;
 
 std::uint32_t wholeMilliseconds(Milliseconds span)
@@ -86,7 +86,7 @@
     if (change == LimitChange::None || change == LimitChange::Adjusted || !statement)
         return;
     this->changed = true;
-    // Those that watch the store tell all others.
+    // A report from one peer is forwarded only by instances that watch the store; their updates go to all instances.
     if (way == Way::Answer || (way == Way::Peer && this->parts.news->isWatching()))
         this->tellLater(backendServer, now);
     DecisionRecord record = beliefOf(statement->perSecond ? "limit_named" : "limit_ended", backendServer)
@@ -94,7 +94,7 @@
     if (statement->perSecond) {
         record.with("per_second", *statement->perSecond);
         this->parts.counters->add(DecisionCount::LimitsNamed);
-        // What was chosen before and is not yet written would go without a permit.
+        // Attempts that were assigned to the server but not yet written to a connection have no permit.
         actions.emplace_back(StopSendingTo{ .backendServer = backendServer, .keepsConnections = true });
     }
     actions.emplace_back(std::move(record));
@@ -117,7 +117,7 @@
 {
     if (this->parts.book->all().empty())
         return false;
-    // One for each that waits, and the one that was just taken from the queue: others would not be used.
+    // At most one permit for each queued request and for the one just taken from the queue; more would go unused.
     const auto all = service.pool.servers();
     const auto expected = std::count_if(
         all.begin(), all.end(), [now](const auto& server) { return server->permits().isExpected(now); });
@@ -191,7 +191,7 @@
 
 PermitSchedule::Grant ServerLimits::grant(const PermitSchedule::Wish& wish, Milliseconds now)
 {
-    // Parts of a fleet that do not hear each other share the limit by their size.
+    // After a network partition, each side grants the share of the limit that corresponds to its size.
     const auto known = static_cast<double>(this->parts.news->knownInstances().size() + 1);
     const double share = this->instances
         ? std::min(1.0, known / static_cast<double>(std::max<std::size_t>(*this->instances, 1)))
@@ -209,7 +209,7 @@
     const Milliseconds from = now + grant.wait;
     if (grant.isGranted)
         return server.permits().give({ .from = from, .until = from + PermitLife });
-    // All that were denied would ask again at the same moment.
+    // The random part keeps all denied instances from asking again at the same moment.
     server.permits().denied(now + grant.wait * (1 + this->parts.random->unit()));
 }
 
@@ -242,7 +242,7 @@
 void ServerLimits::answered(const peers::PermitAnswer& answer, Milliseconds now, Actions& actions)
 {
     const auto server = this->serverOf(answer.limit().backend_server(), answer.limit().life());
-    // What comes after its time is not used.
+    // Ignore answers that arrive after their time-out.
     if (!server || !server->permits().isAwaited(answer.number()))
         return;
     server->permits().answered();
--- a/Source/Node/ServerLimits.h
+++ b/Source/Node/ServerLimits.h
@@ -26,11 +26,16 @@
 class ServiceTable;
 
 /**
- * Keeps the fleet within the limits that backend servers name in their
- * answers. What servers said is told to all instances with the news. One
- * instance, the first of those that watch the store, grants permits, one for
- * each request; where it cannot be asked, a small part of the limit is dealt
- * among all instances.
+ * Keeps the fleet within the rate limits that backend servers state in their
+ * answers.
+ *
+ * A limit applies to all instances together. It is distributed to them with the
+ * gossip updates. One instance, the first of those that watch the store, grants
+ * permits, one for each request to a limited server. An instance that cannot
+ * reach the granting one uses its share of a small fraction of the limit.
+ *
+ * A limit ends when a server answers a request sent after the limit became
+ * known without stating one.
  */
 class ServerLimits {
 public:
@@ -38,18 +43,25 @@
 
     struct Options {
         peers::Member self;
-        Milliseconds answerPatience{ 150 }; // of an ask; 40 ms to another region and back, and slow processors
-        Milliseconds silentPause{ 300 }; // a granting instance that was silent is not asked for so long
-        /** Longer than it takes until all others know a new granting instance, less what the limits leave over. */
+        Milliseconds answerPatience{
+            150
+        }; // time-out of a permit request: 40 ms inter-region round trip plus slow CPUs
+        Milliseconds silentPause{ 300 }; // after a time-out, the granting instance is not asked again for this long
+        /**
+         * Delay before a new granting instance grants its first permit. Until all others know it, the previous one may
+         * still grant; the slack in the limits covers what remains of that overlap.
+         */
         Milliseconds takeOver{ 500 };
-        Milliseconds toldFor{ 3000 }; // an older statement is not passed on any more
-        Milliseconds longestTellDelay{ 300 }; // many hear the same at one moment: one of them tells it
-        double dealtShare = 0.1; // of the limit, where nobody grants
+        Milliseconds toldFor{ 3000 }; // older statements are not forwarded any more
+        Milliseconds longestTellDelay{
+            300
+        }; // random delay, so that one of many instances with the same report sends it
+        double dealtShare = 0.1; // fraction of the limit that all instances share when none can be asked
         Milliseconds dealtWindow{ 4000 };
-        double shareOfUnknown = 0.25; // of the limit, granted while the size of the fleet is not known
+        double shareOfUnknown = 0.25; // fraction of the limit granted while the size of the fleet is unknown
     };
 
-    /** All outlive this object. */
+    /** All must outlive this object. */
     struct Parts {
         LimitBook* book = nullptr;
         const ServiceTable* services = nullptr;
@@ -60,53 +72,59 @@
 
     ServerLimits(Options options, Parts parts);
 
-    /** An answer may name a limit. */
+    /** Handles the header fields of a server's answer, which may state a limit. */
     void heard(const ServerNoticed& event, Milliseconds now, Actions& actions);
-    /** A whole answer to a request of this time came, after what its header named was heard. */
+    /**
+     * A server has answered completely a request sent at sentAt. Called after heard() for the same answer, so a limit
+     * that was not stated again has ended.
+     */
     void answered(BackendServerState& server, Milliseconds sentAt, Milliseconds now, Actions& actions);
 
     /**
-     * A request waits for a server of this service: asks for a permit if one may help within its time. True when one
-     * is there at once.
+     * A request is queued for this service: asks for a permit if one may arrive while it waits. True when a permit is
+     * available at once.
      */
     bool wanted(const ServiceState& service, Milliseconds patience, Milliseconds now, Actions& actions);
-    /** A request of this service begins: asks for a permit for a server whose word is old, to hear it again. */
+    /**
+     * A request of this service starts. Asks for a permit for a server whose limit has not been confirmed for long, so
+     * that an answer shows whether the limit still applies.
+     */
     void begun(const ServiceState& service, Milliseconds now, Actions& actions);
 
     void receive(const peers::PeerMessage& message, Milliseconds now, Actions& actions);
-    /** What is worth telling: all that is known, or what was heard here. */
+    /** Appends the recent limit statements: all known ones, or only those received from servers by this instance. */
     void fill(Messages& messages, bool onlyHeardHere, Milliseconds now) const;
-    /** What another instance told, to this one or with the news that go to all. */
+    /** Merges statements from another instance; isNews: with a gossip update, which goes to all instances. */
     void receive(const Messages& messages, bool isNews, Milliseconds now, Actions& actions);
-    /** When those who do not know yet should be told at once what was heard here. */
+    /** When to report new statements to other instances; Never when there are none. */
     Milliseconds nextTelling() const { return this->untold.empty() ? Never : this->tellAt; }
     void told() { this->untold.clear(); }
-    /** True once after a change that may let waiting requests go on, or be refused. */
+    /** True once after a change that may allow queued requests to be sent or refused. */
     bool takeChanged() { return std::exchange(this->changed, false); }
 
     void tick(std::optional<std::size_t> instancesAtLeast, Milliseconds now);
 
 private:
-    /** How something about a limit came to be known here. */
+    /** How this instance received a limit statement. */
     enum class Way {
-        Answer, // of the server
-        Peer, // one other instance said it
-        News // all are told
+        Answer, // in an answer of the server
+        Peer, // in a message from one other instance
+        News // in a gossip update, which goes to all instances
     };
 
     void note(const std::string& backendServer, LimitChange change, Way way, Milliseconds now, Actions& actions);
     void tellLater(const std::string& backendServer, Milliseconds now);
     void apply(const std::string& backendServer, std::uint64_t life);
-    /** Servers of the service for which a permit may be asked. */
+    /** The service's servers for which a permit may be requested; onlyOld: only those not confirmed for long. */
     std::vector<BackendServerState*> askable(const ServiceState& service, bool onlyOld, Milliseconds now) const;
     bool ask(BackendServerState& server, Milliseconds patience, Milliseconds now, Actions& actions);
     void askGranting(const peers::Member& granting, BackendServerState& server, const LimitStatement& statement,
         Milliseconds patience, Milliseconds now, Actions& actions);
-    /** A permit without asking, now and then. */
+    /** Takes a permit from this instance's share of the limit, without asking the granting instance. */
     void deal(BackendServerState& server, Milliseconds now);
     PermitSchedule::Grant grant(const PermitSchedule::Wish& wish, Milliseconds now);
     void settle(BackendServerState& server, const PermitSchedule::Grant& grant, Milliseconds now) const;
-    /** This instance is the one that grants, and has been for a moment. */
+    /** True when this instance is the granting one and its takeOver delay has passed. */
     bool mayGrant(Milliseconds now);
     void asked(const peers::PermitAsk& ask, Milliseconds now, Actions& actions);
     void answered(const peers::PermitAnswer& answer, Milliseconds now, Actions& actions);
@@ -119,10 +137,10 @@
     Parts parts;
     PermitSchedule schedule;
     DealtBudget dealt;
-    std::optional<std::size_t> instances; // at least
+    std::optional<std::size_t> instances; // lower bound of the fleet's size
     Milliseconds grantsFrom = Never; // Never: another instance grants
     std::uint64_t lastAsk = 0;
-    std::set<std::string> untold; // servers whose statement was heard here and nobody else told
+    std::set<std::string> untold; // servers with a statement that has not been reported to other instances yet
     Milliseconds tellAt = Never;
     bool changed = false;
 };
--- a/Source/Node/ServerPauses.cpp
+++ b/Source/Node/ServerPauses.cpp
@@ -19,7 +19,7 @@
         return false;
     const Milliseconds spread = std::min(pause, this->options.longestSpread) * this->parts.random->unit();
     const Milliseconds until = now + pause + spread;
-    // Kept also of a server that is not known at the moment: its record may come back.
+    // Stored even if the server has no record at the moment, as the record may come back.
     if (!this->parts.book->heardPause(event.backendServer, event.life, until, now))
         return false;
     const auto server = this->parts.services->backendServer(event.backendServer);
--- a/Source/Node/ServerPauses.h
+++ b/Source/Node/ServerPauses.h
@@ -10,22 +10,22 @@
 class ServiceTable;
 
 /**
- * Pauses that backend servers asked this instance for when they turned a
- * request away. Each is kept as asked, by the life that asked, and concerns
- * this instance alone: others are not told.
+ * Applies the pauses that backend servers request when they refuse a request
+ * from this instance. A pause applies to this instance and to that life of the
+ * server only; it is not reported to other instances.
  */
 class ServerPauses {
 public:
     struct Options {
         /**
-         * At its end this instance waits up to as long again, at most so long: what a server asked of many instances at
-         * one moment would end at one moment. 18 instances that then send one request each within half a second are as
-         * much as a server of three slots answers at 80 ms a request.
+         * Upper bound of the random extension of a pause. A pause is extended by up to its own length, but no more than
+         * this, because a server often asks many instances for a pause at the same moment. At the bound, 18 instances
+         * that each send one request within 500 ms load a server of three slots fully at 80 ms per request.
          */
         Milliseconds longestSpread{ 500 };
     };
 
-    /** All outlive this object. */
+    /** All must outlive this object. */
     struct Parts {
         NoticeBook* book = nullptr;
         const ServiceTable* services = nullptr;
@@ -34,7 +34,7 @@
 
     ServerPauses(Options options, Parts parts);
 
-    /** True when it lengthens what was asked before. */
+    /** Handles a pause request; true when the pause ends later than any requested before. */
     bool heard(const ServerNoticed& event, Milliseconds now) const;
 
 private:
