--- a/Tests/Node/ColdServersTest.cpp
+++ b/Tests/Node/ColdServersTest.cpp
@@ -18,16 +18,15 @@
 constexpr Milliseconds Gap{ 2 };
 constexpr std::uint32_t BornePerSecond = 3;
 constexpr std::uint32_t ColdMilliseconds = 3000;
-/** What the users' platform allows beyond what a cold server bears. */
+/** Highest number of requests in a second that the platform accepts at a cold server. */
 constexpr double Allowed = BornePerSecond * 1.5 + 8;
 
-/** What happens half a second before the servers of a data centre come back cold, and whether operators named a bound.
- */
+/** The event half a second before a data centre's servers are taken back cold, and their cold-start limit. */
 struct Case {
     const char* name;
     std::function<void(VirtualFleet&)> meanwhile;
-    std::uint32_t borne; // 0: no bound is named
-    bool isKept;
+    std::uint32_t borne; // cold-start limit in requests per second; 0: none
+    bool isKept; // whether the limit is expected to hold
 };
 
 void loseAll(VirtualFleet& fleet)
@@ -45,9 +44,9 @@
 
 const std::vector<Case> Cases{
     { "nothing", [](VirtualFleet&) {}, BornePerSecond, true },
-    { "all instances begin anew", loseAll, BornePerSecond, true },
-    { "half of them are cut off from the others", cutHalf, BornePerSecond, true },
-    { "nothing, and no bound", [](VirtualFleet&) {}, 0, false },
+    { "all instances restart", loseAll, BornePerSecond, true },
+    { "half of the instances are partitioned from the others", cutHalf, BornePerSecond, true },
+    { "nothing, without a cold-start limit", [](VirtualFleet&) {}, 0, false },
 };
 
 v1::Configuration configurationOf(const VirtualFleet& fleet, const Case& item, std::uint32_t revision, bool isEmptied)
@@ -70,7 +69,7 @@
     }
 }
 
-/** The most attempts at one server of dc-2 within any second of a span. */
+/** The highest number of attempts at one server of dc-2 in any second of the interval. */
 std::size_t mostInASecond(const VirtualFleet& fleet, Milliseconds from, Milliseconds until)
 {
     std::size_t most = 0;
@@ -94,7 +93,8 @@
 
 TEST_GROUP(ColdServers){};
 
-// 500 requests a second from 40 instances, as a data centre with a third of the servers is taken back.
+// Sends 500 requests per second through 40 instances while a data centre with a third of the servers is taken back into
+// use.
 TEST(ColdServers, TheWholeFleetKeepsTheirBoundWhenTheyComeBack)
 {
     for (const Case& item : Cases) {
@@ -112,7 +112,7 @@
         load(fleet, cold + Second);
         const std::size_t most = mostInASecond(fleet, backAt, backAt + cold);
         CHECK_TEXT((static_cast<double>(most) <= Allowed) == item.isKept, item.name);
-        CHECK_TEXT(
-            mostInASecond(fleet, backAt + cold, fleet.now()) > Allowed, "they are used again when they are warm");
+        CHECK_TEXT(mostInASecond(fleet, backAt + cold, fleet.now()) > Allowed,
+            "the servers are used again once they are warm");
     }
 }
--- a/Tests/Node/CrashRecorderTest.cpp
+++ b/Tests/Node/CrashRecorderTest.cpp
@@ -1,8 +1,7 @@
-// Seen: all instances ended one after the other, at the moment at which one of
-// them was to write to the store under which requests servers had ended.
-// How it came about: the record was written as bytes, and the store's own form,
-// which is JSON, cannot hold them; the library that writes it threw.
-// Proof: the last line of each instance named an invalid byte of the value.
+// Guards against a crash of all instances, one after the other, when the crash
+// record was written to the store. The record was encoded as binary data, which
+// JSON, the wire format of burlreach's own store, cannot represent: the JSON
+// library threw an exception for the invalid bytes.
 
 #include "Node/CrashRecorder.h"
 #include "Node/CrashMessages.h"
@@ -45,7 +44,7 @@
     CHECK(this->recorder.isDue(Settled));
     const auto request = this->recorder.next(someCrashes(~0ULL), nullptr, true, Settled);
     CHECK(request.has_value());
-    // Throws on bytes that are no text.
+    // Throws if the value is not valid text.
     const HttpRequest message = OwnStoreWire().encode(*request);
     CHECK(!message.body().empty());
     const auto kept = readKeptCrashes(request->value);
--- a/Tests/Node/CrashingRequestTest.cpp
+++ b/Tests/Node/CrashingRequestTest.cpp
@@ -1,12 +1,11 @@
-// Seen: within a third of a second six of seven roster servers ended, each 50
-// to 140 ms after the same read had come to it; the seventh followed. They were
-// back after three seconds and ended again, one or two at a time, 24 in all.
-// How it came about: one request ends the process of each server that runs it.
-// It was tried at another server, and its caller sent it again, with another
-// id, at other instances. Cause: instances judged servers only. What one of
-// them saw of a request ended with its answer, and no other one heard of it.
-// Proof: at each end the same path, caller and body was under way, and the
-// other requests there varied.
+// Guards against one request that crashes all servers of a service. The request
+// crashes each server that runs it, 50 to 140 ms after it arrives. It was
+// retried at other servers, and its caller sent it again with another id
+// through other instances: six of seven servers crashed within a third of a
+// second, the seventh followed, and after their restart they crashed again, 24
+// times in all. Instances evaluated servers only; they kept nothing about a
+// request after its end and did not share what they had seen. At each crash the
+// same path, caller and body was in flight, while the other requests varied.
 
 #include "Tests/Virtual/VirtualFleet.h"
 
@@ -23,34 +22,31 @@
 namespace {
 
 constexpr std::size_t Servers = 7;
-constexpr std::size_t Struck = 1; // the instance at which faults strike
+constexpr std::size_t Struck = 1; // the instance that is killed, suspended or partitioned
 constexpr std::size_t EndsThatProve = 3;
 constexpr std::size_t MostSentLater = 3;
-/** Three prove it; what was under way meanwhile, and while late news travel,
- * ends some more. */
+/** Three crashes are proof; attempts already in flight, or sent before slow gossip updates arrive, cause some more. */
 constexpr std::size_t MostEnds = 8;
-/** Later than this after the third end every instance that is in touch must
- * know. */
+/** The time after the third crash by which every connected instance must know of the request. */
 constexpr Milliseconds Contact{ 3000 };
 constexpr Milliseconds Settling{ 4000 };
 constexpr Milliseconds Gap{ 20 };
-/** The request comes again this often, at another instance each time. */
+/** The interval at which the request is sent again, each time to another instance. */
 constexpr Milliseconds ReturnsEvery{ 160 };
 
 const VirtualRequest Harmful{ .path = "/crews/7", .caller = "10.0.2.7", .body = "x", .crashesServers = true };
 
-/** What happens around the ends; times count from the first arrival of the
- * request. */
+/** The faults during the crashes; times are relative to the first arrival of the request. */
 struct Case {
     const char* name;
     std::size_t instances;
     std::function<void(VirtualFleet&)> plan;
     Milliseconds toPeer{ 1 };
-    Milliseconds struckInTouchAt; // the struck instance counts from here on
+    Milliseconds struckInTouchAt; // from this time on, the struck instance must know of the request
     Milliseconds watched{ 20000 };
 };
 
-/** Does something so long from now on. */
+/** Schedules an action after this delay. */
 void later(VirtualFleet& fleet, Milliseconds span, std::function<void(VirtualFleet&)> action)
 {
     fleet.clock().after(span, [&fleet, action = std::move(action)] { action(fleet); });
@@ -107,18 +103,22 @@
 const std::vector<Case> Cases{
     { .name = "three", .instances = 3, .plan = nothing },
     { .name = "eighteen", .instances = 18, .plan = nothing },
-    { .name = "eighteen, late news", .instances = 18, .plan = nothing, .toPeer = { 300 } },
-    { .name = "ninety-five, late news", .instances = 95, .plan = nothing, .toPeer = { 150 }, .watched = { 8000 } },
+    { .name = "eighteen, slow gossip updates", .instances = 18, .plan = nothing, .toPeer = { 300 } },
+    { .name = "ninety-five, slow gossip updates",
+        .instances = 95,
+        .plan = nothing,
+        .toPeer = { 150 },
+        .watched = { 8000 } },
     { .name = "hundreds", .instances = 473, .plan = nothing, .watched = { 4600 } },
-    { .name = "one begins", .instances = 18, .plan = beginLater, .struckInTouchAt = { 9000 } },
-    { .name = "one of three begins", .instances = 3, .plan = beginLater, .struckInTouchAt = { 9000 } },
+    { .name = "one starts", .instances = 18, .plan = beginLater, .struckInTouchAt = { 9000 } },
+    { .name = "one of three starts", .instances = 3, .plan = beginLater, .struckInTouchAt = { 9000 } },
     { .name = "one is suspended", .instances = 18, .plan = standStill, .struckInTouchAt = { 11000 } },
     { .name = "one of three is suspended", .instances = 3, .plan = standStill, .struckInTouchAt = { 11000 } },
-    { .name = "one is cut off from the others", .instances = 18, .plan = cutOff, .struckInTouchAt = { 11000 } },
-    { .name = "all are lost", .instances = 18, .plan = loseAll },
-    { .name = "all of ninety-five are lost", .instances = 95, .plan = loseAll, .watched = { 10000 } },
-    { .name = "the watchers are lost", .instances = 18, .plan = loseWatchers },
-    { .name = "the store is away", .instances = 18, .plan = loseStore },
+    { .name = "one is partitioned from the others", .instances = 18, .plan = cutOff, .struckInTouchAt = { 11000 } },
+    { .name = "all restart", .instances = 18, .plan = loseAll },
+    { .name = "all of ninety-five restart", .instances = 95, .plan = loseAll, .watched = { 10000 } },
+    { .name = "the watchers restart", .instances = 18, .plan = loseWatchers },
+    { .name = "the store is down", .instances = 18, .plan = loseStore },
 };
 
 struct Outcome {
@@ -126,8 +126,7 @@
     std::size_t sentLater = 0;
 };
 
-/** A fleet under load to which the request comes again and again, at all
- * instances by turns. */
+/** A fleet under load that also receives the crashing request repeatedly, through all instances in turn. */
 class StruckFleet {
 public:
     explicit StruckFleet(const Case& item)
@@ -152,8 +151,7 @@
         const Milliseconds end = this->fleet.now() + span;
         while (this->fleet.now() < end) {
             const std::size_t number = this->turn++;
-            // Others read the same crew, from elsewhere; and the same caller reads
-            // others.
+            // Harmless requests share either the path or the caller with the crashing one.
             const bool isOther = number % 2;
             this->fleet.send(number % this->fleet.size(),
                 { .path = isOther ? Harmful.path : "/crews/8", .caller = isOther ? "10.0.2.8" : Harmful.caller });
@@ -165,7 +163,7 @@
         }
     }
 
-    /** Counted at all instances. */
+    /** The sum of a counter over all instances. */
     template <typename Reason>
     std::uint64_t counted(Reason reason)
     {
@@ -175,7 +173,7 @@
         return sum;
     }
 
-    /** Ends of all servers, in the order of their times. */
+    /** The times of all server crashes, in order. */
     std::vector<Milliseconds> ends() const
     {
         std::vector<Milliseconds> times;
@@ -187,8 +185,7 @@
         return times;
     }
 
-    /** Times that the request was sent to a server after it should have been
-     * known everywhere. */
+    /** How often the request was sent to a server after all connected instances should have known of it. */
     std::size_t sentLater() const
     {
         const std::vector<Milliseconds> times = this->ends();
@@ -223,7 +220,7 @@
         struck.load(item.watched);
         const Outcome outcome{ .ends = struck.ends().size(), .sentLater = struck.sentLater() };
         const std::string found = std::string(item.name) + ": sent " + std::to_string(outcome.sentLater)
-            + " times more, " + std::to_string(outcome.ends) + " servers ended";
+            + " more times, " + std::to_string(outcome.ends) + " servers crashed";
         CHECK_TEXT(outcome.ends >= EndsThatProve, found.c_str());
         CHECK_TEXT(outcome.sentLater <= MostSentLater, found.c_str());
         CHECK_TEXT(outcome.ends <= MostEnds, found.c_str());
--- a/Tests/Node/CustomerKeysTest.cpp
+++ b/Tests/Node/CustomerKeysTest.cpp
@@ -1,6 +1,5 @@
-// Requests of callers without a key, with one that nobody holds, and with one
-// that is taken away while the request waits or while the store turns the
-// instance away.
+// Requests without a key, with an unknown key, and with a key that is revoked
+// while the request is queued or while the store rejects the instance.
 
 #include "Tests/Virtual/VirtualFleet.h"
 
@@ -17,7 +16,7 @@
 namespace {
 
 constexpr std::size_t Instances = 4;
-/** A round of news, with the way there and back. */
+/** Time for a gossip update to reach all instances, including a round trip. */
 constexpr Milliseconds NewsRound{ 60 };
 
 v1::Customer customerWith(const std::string& name, const std::vector<std::string>& keys)
@@ -119,10 +118,10 @@
         Milliseconds bound;
     };
     const std::vector<Case> cases{
-        { "calm", [](VirtualFleet&) {}, NewsRound },
-        { "the store turns an instance away",
-            [](VirtualFleet& fleet) { fleet.theStore().setTurnedAway("entry-4", true); }, NewsRound },
-        { "an instance is cut off from the others", [](VirtualFleet& fleet) { fleet.cutFromPeers(3, true); },
+        { "no fault", [](VirtualFleet&) {}, NewsRound },
+        { "the store rejects an instance", [](VirtualFleet& fleet) { fleet.theStore().setTurnedAway("entry-4", true); },
+            NewsRound },
+        { "an instance is partitioned from the others", [](VirtualFleet& fleet) { fleet.cutFromPeers(3, true); },
             { 2500 } },
     };
     for (const Case& item : cases) {
--- a/Tests/Node/CustomerQuotaTest.cpp
+++ b/Tests/Node/CustomerQuotaTest.cpp
@@ -1,7 +1,7 @@
-// A customer sends many times what its limit allows, while the instance that
-// grants credit is lost, stands still, is cut off or loses the store. What
-// reaches servers in any five seconds is counted over all instances; and a
-// customer that stays below its limit is to be served all the same.
+// One customer sends five times its quota while the instance that grants credit
+// is killed, suspended, partitioned or loses the store. Checks that over all
+// instances no window of five seconds lets through more than the bound, and
+// that a second customer, which stays within its quota, is still served.
 
 #include "Tests/Virtual/VirtualFleet.h"
 
@@ -46,7 +46,7 @@
         this->fleet.run({ 8000 });
     }
 
-    /** The hot one sends 8 times its usual, the calm one its usual. */
+    /** A customer's normal rate is its limit / 1.6. The hot one sends 8 times that, the calm one exactly that. */
     void load(Milliseconds span)
     {
         const Milliseconds end = this->fleet.now() + span;
@@ -71,7 +71,7 @@
         return this->fleet.size();
     }
 
-    /** The most of its requests that reached servers within a window. */
+    /** The highest number of the customer's requests that reached servers within one window. */
     std::size_t mostInWindow(const std::string& customer) const
     {
         std::size_t most = 0;
@@ -88,7 +88,7 @@
         return most;
     }
 
-    /** Of its requests since then. */
+    /** The share of the customer's requests since this time that were answered. */
     double shareServed(const std::string& customer, Milliseconds since) const
     {
         double sent = 0;
@@ -119,7 +119,7 @@
         VirtualRequest request;
         request.key = "key-of-" + customer;
         request.kind = customer;
-        // The platform leads callers to instances that live.
+        // The platform sends callers to live instances only.
         std::size_t instance = this->random.below(this->fleet.size());
         while (!this->fleet.isAlive(instance))
             instance = (instance + 1) % this->fleet.size();
@@ -136,7 +136,7 @@
     const char* name;
     std::function<void(LimitedFleet&)> trouble;
     std::function<void(LimitedFleet&)> heal;
-    double shareMeanwhile; // of the calm one's requests, in the 6 s after the trouble
+    double shareMeanwhile; // minimum share of the calm customer's requests answered in the 6 s after the fault
 };
 
 void forAll(LimitedFleet& limited, const std::function<void(std::size_t)>& each)
@@ -151,42 +151,42 @@
     { "nothing", [](LimitedFleet&) {}, [](LimitedFleet&) {}, 0.99 },
     { "the granting instance is killed", [](LimitedFleet& limited) { limited.fleet.kill(struck); },
         [](LimitedFleet& limited) { limited.fleet.start(struck); }, 0.25 },
-    { "it is killed and begins anew at once",
+    { "it is killed and restarts at once",
         [](LimitedFleet& limited) {
             limited.fleet.kill(struck);
             limited.fleet.start(struck);
         },
         [](LimitedFleet&) {}, 0.6 },
-    { "it stops as planned",
+    { "it shuts down gracefully",
         [](LimitedFleet& limited) {
             limited.fleet.askToStop(struck);
             limited.fleet.run({ 2500 });
             limited.fleet.kill(struck);
         },
         [](LimitedFleet& limited) { limited.fleet.start(struck); }, 0.8 },
-    { "it stands still", [](LimitedFleet& limited) { limited.fleet.freeze(struck); },
+    { "it is suspended", [](LimitedFleet& limited) { limited.fleet.freeze(struck); },
         [](LimitedFleet& limited) { limited.fleet.wake(struck); }, 0.25 },
-    { "it is cut off from the others", [](LimitedFleet& limited) { limited.fleet.cutFromPeers(struck, true); },
+    { "it is partitioned from the others", [](LimitedFleet& limited) { limited.fleet.cutFromPeers(struck, true); },
         [](LimitedFleet& limited) { limited.fleet.cutFromPeers(struck, false); }, 0.25 },
-    { "the store turns it away",
+    { "the store rejects it",
         [](LimitedFleet& limited) {
             limited.fleet.theStore().setTurnedAway("entry-" + std::to_string(struck + 1), true);
         },
         [](LimitedFleet& limited) {
             limited.fleet.theStore().setTurnedAway("entry-" + std::to_string(struck + 1), false);
         },
-        0.75 }, // half of the limit is granted, eight tenths of its usual
-    { "the store is away", [](LimitedFleet& limited) { limited.fleet.theStore().setFault(StoreFault::Silent); },
+        0.75 }, // half of the limit is granted, which is 0.8 of the customer's normal rate
+    { "the store is silent", [](LimitedFleet& limited) { limited.fleet.theStore().setFault(StoreFault::Silent); },
         [](LimitedFleet& limited) { limited.fleet.theStore().setFault(StoreFault::None); }, 0.75 },
-    { "half of the fleet is cut off, instance from instance",
+    { "half of the instances are partitioned from all others",
         [](LimitedFleet& limited) {
             forAll(limited, [&](std::size_t instance) { limited.fleet.cutFromPeers(instance, instance % 2 != 0); });
         },
         [](LimitedFleet& limited) {
             forAll(limited, [&](std::size_t instance) { limited.fleet.cutFromPeers(instance, false); });
         },
-        0 }, // across the cut nobody can be asked
-    { "all are killed and begin anew",
+        0 }, // partitioned instances cannot reach the granting one
+    { "all are killed and restart",
         [](LimitedFleet& limited) {
             forAll(limited, [&](std::size_t instance) { limited.fleet.kill(instance); });
             limited.fleet.run({ 300 });
--- a/Tests/Node/InnocentRequestsTest.cpp
+++ b/Tests/Node/InnocentRequestsTest.cpp
@@ -1,5 +1,5 @@
-// Requests that are under way where servers end for another reason, or beside a
-// request that ends them, are not taken for the cause.
+// Requests in flight on servers that crash for another reason, or because of
+// another request, must not be taken for the cause and refused.
 
 #include "Tests/Virtual/ParallelRuns.h"
 #include "Tests/Virtual/VirtualFleet.h"
@@ -22,7 +22,7 @@
 constexpr Milliseconds Watched{ 20000 };
 constexpr Milliseconds Down{ 1500 };
 constexpr Milliseconds Patience{ 1000 };
-/** Few requests, each of which comes again and again, also after a failure. */
+/** Number of distinct requests; each is sent repeatedly, also after a failure. */
 constexpr std::size_t Identities = 20;
 
 void setAll(VirtualFleet& fleet, const std::vector<std::string>& servers, ServerFault fault)
@@ -31,7 +31,7 @@
         fleet.server(id).setFault(fault);
 }
 
-/** These servers end together and are back after a while, again and again. */
+/** Kills these servers together and restarts them after a while, repeatedly. */
 void repeatEnds(VirtualFleet& fleet, const std::vector<std::string>& servers, Milliseconds every, Milliseconds down)
 {
     for (Milliseconds at = every; at < Watched; at = at + every) {
@@ -43,26 +43,29 @@
 struct Case {
     const char* name;
     std::function<void(VirtualFleet&)> plan;
-    Milliseconds harmfulEvery = Never; // a request that ends servers comes beside
-    std::size_t harmful = 3; // with bodies of their own
+    Milliseconds harmfulEvery = Never; // interval of requests that crash servers; Never: none are sent
+    std::size_t harmful = 3; // number of distinct crashing requests, which differ in their bodies
     std::size_t servers = 9;
-    /** Of some 2,500: where three servers end under a dozen at a time, nothing tells them apart for a while. */
+    /**
+     * Harmless requests that may be refused, of about 2,500. With a dozen crashing requests on three servers, harmless
+     * ones cannot be distinguished from them for a while.
+     */
     std::size_t mostRefused = 0;
 };
 
 const std::vector<Case> Cases{
-    { "a rack ends, four times",
+    { "a rack fails, four times",
         [](VirtualFleet& fleet) {
             repeatEnds(fleet, { "s0", "s1", "s2" }, { 4000 }, Down);
         } },
-    { "a data centre ends, four times",
+    { "a data centre fails, four times",
         [](VirtualFleet& fleet) {
             repeatEnds(fleet, { "s1", "s4", "s7" }, { 4000 }, Down);
         } },
-    { "all servers end, four times",
+    { "all servers crash, four times",
         [](VirtualFleet& fleet) { repeatEnds(fleet, fleet.serverIds(), { 4000 }, Down); } },
-    { "a server goes down and up", [](VirtualFleet& fleet) { repeatEnds(fleet, { "s0" }, { 600 }, { 300 }); } },
-    { "two servers go down and up by turns",
+    { "a server restarts repeatedly", [](VirtualFleet& fleet) { repeatEnds(fleet, { "s0" }, { 600 }, { 300 }); } },
+    { "two servers restart repeatedly",
         [](VirtualFleet& fleet) {
             repeatEnds(fleet, { "s0" }, { 600 }, { 300 });
             repeatEnds(fleet, { "s5" }, { 700 }, { 350 });
@@ -71,7 +74,7 @@
         [](VirtualFleet& fleet) {
             setAll(fleet, { "s0", "s1", "s2" }, ServerFault::LosesAnswers);
         } },
-    { "servers go dark",
+    { "servers become unreachable",
         [](VirtualFleet& fleet) {
             setAll(fleet, { "s0", "s1", "s2" }, ServerFault::Dark);
         } },
@@ -80,19 +83,19 @@
             setAll(fleet, fleet.serverIds(), ServerFault::LosesAnswers);
             fleet.clock().after({ 5000 }, [&fleet] { setAll(fleet, fleet.serverIds(), ServerFault::None); });
         } },
-    { "a harmful one comes beside", [](VirtualFleet&) {}, { 150 } },
-    { "harmful ones and a rack that ends",
+    { "crashing requests", [](VirtualFleet&) {}, { 150 } },
+    { "crashing requests and a rack that fails",
         [](VirtualFleet& fleet) {
             repeatEnds(fleet, { "s0", "s1", "s2" }, { 4000 }, Down);
         },
         { 150 } },
-    { "a dozen harmful ones and three servers", [](VirtualFleet&) {}, { 20 }, 12, 3, 80 },
-    { "six harmful ones and five servers", [](VirtualFleet&) {}, { 100 }, 6, 5 },
+    { "twelve crashing requests and three servers", [](VirtualFleet&) {}, { 20 }, 12, 3, 80 },
+    { "six crashing requests and five servers", [](VirtualFleet&) {}, { 100 }, 6, 5 },
 };
 
 VirtualRequest identity(std::size_t number)
 {
-    // Alike but for the caller, the body or the path; a third may run once only.
+    // Requests differ only in caller, body or path. A third of them is run-once.
     const bool runsOnce = number % 3 == 0;
     return { .method = runsOnce ? "POST" : "GET",
         .path = number % 4 == 0 ? "/crews/8" : "/crews/7",
@@ -102,7 +105,7 @@
 }
 
 struct Outcome {
-    std::size_t refused = 0; // as ones that crash servers, though they do not
+    std::size_t refused = 0; // harmless requests refused as crashing servers
     std::size_t harmfulRefused = 0;
 };
 
--- a/Tests/Node/LapsedServersTest.cpp
+++ b/Tests/Node/LapsedServersTest.cpp
@@ -12,22 +12,22 @@
 
 namespace {
 
-/** The item of one server, after so long without a word from the store. */
+/** The store item of one server disappears after the store has been silent for a time. */
 struct Case {
     const char* name;
-    double silence; // until its item is gone
-    const char* before; // what the item held
-    double backAfter; // from then until it is there again; 0: never
-    const char* soon; // its state 100 ms after it was gone
-    const char* later; // and 2.1 s after
+    double silence; // milliseconds from the last update until the item is removed
+    const char* before; // value of the item
+    double backAfter; // milliseconds from the removal until the item is back; 0: never
+    const char* soon; // expected state of the server 100 ms after the removal
+    const char* later; // expected state 2.1 s after the removal
 };
 
 const std::vector<Case> Cases{
-    { "removed while the store is heard", 1200, "ready", 0, "gone", "gone" },
-    { "lapsed while the store was away, and back", 4500, "ready", 1500, "taking", "taking" },
-    { "lapsed while the store was away, and not back", 4500, "ready", 0, "taking", "gone" },
-    { "was leaving before the store went away", 4500, "draining", 0, "gone", "gone" },
-    { "removed, and there again", 1200, "ready", 500, "gone", "taking" },
+    { "removed while the store answers", 1200, "ready", 0, "gone", "gone" },
+    { "lapsed during an outage of the store, and back", 4500, "ready", 1500, "taking", "taking" },
+    { "lapsed during an outage of the store, and not back", 4500, "ready", 0, "taking", "gone" },
+    { "was draining before the outage of the store", 4500, "draining", 0, "gone", "gone" },
+    { "removed and added again", 1200, "ready", 500, "gone", "taking" },
 };
 
 }
@@ -40,7 +40,7 @@
     StoreRevision revision = 0;
     Milliseconds now;
 
-    /** Starts with one server, confirmed at this time. */
+    /** Starts a node that knows one server from the store, with confirmed knowledge. */
     void begin(const char* value)
     {
         Node::Options options;
@@ -67,7 +67,7 @@
         this->hear(nullptr, false);
     }
 
-    /** News of a watcher, with a change of the server's item when there is a value or it is removed. */
+    /** Receives a gossip update from a watcher; it changes the server's item if there is a value or it is removed. */
     void hear(const char* value, bool isRemoved)
     {
         peers::PeerMessage message;
@@ -105,8 +105,8 @@
     }
 };
 
-// 0.896 of the worth was earned in the two seconds after an outage in which the
-// records of servers lapsed, 0.97 around them.
+// Guards against dropping all servers when their records expire during an outage of the store. In the two seconds after
+// such an outage only 0.896 of the possible value of requests was earned, compared with 0.97 before and after.
 TEST(LapsedServers, ServersWhoseRecordsLapsedAreKeptForAMoment)
 {
     for (const Case& item : Cases) {
--- a/Tests/Node/LateCallersTest.cpp
+++ b/Tests/Node/LateCallersTest.cpp
@@ -15,21 +15,21 @@
 constexpr Milliseconds LateOneBrings{ 1200 };
 constexpr Milliseconds Span{ 10000 };
 
-/** Calls a second, for servers that answer 60 a second. */
+/** The load consists of first attempts (fresh) and late ones; the servers answer 60 requests per second. */
 struct Case {
     const char* name;
     bool freshFirst;
-    double fresh;
-    double late;
-    double leastFresh; // share answered
-    double leastLate;
-    double mostLate;
+    double fresh; // requests per second
+    double late; // requests per second
+    double leastFresh; // minimum share of fresh requests answered
+    double leastLate; // minimum share of late requests answered
+    double mostLate; // maximum share of late requests answered
 };
 
 const std::vector<Case> Cases{
-    { "under overload the late ones stand back and do not starve", true, 70, 50, 0.55, 0.005, 0.25 },
-    { "without the order they compete as equals", false, 70, 50, 0.2, 0.3, 0.8 },
-    { "with room for all everybody is served", true, 10, 10, 0.98, 0.97, 1 },
+    { "under overload late requests have lower priority and do not starve", true, 70, 50, 0.55, 0.005, 0.25 },
+    { "without prioritization all have equal priority", false, 70, 50, 0.2, 0.3, 0.8 },
+    { "without overload all are served", true, 10, 10, 0.98, 0.97, 1 },
 };
 
 struct Shares {
--- a/Tests/Node/PausedServersTest.cpp
+++ b/Tests/Node/PausedServersTest.cpp
@@ -1,6 +1,6 @@
-// Servers turn requests away and say for how long they want nothing from the
-// instance that they answered. It keeps to that with requests, hedges and
-// probes; other instances go on; at the end nobody rushes.
+// Servers refuse requests and ask the instance for a pause. During the pause
+// that instance must send neither requests nor hedges nor probes; other
+// instances are not affected; the end of a pause must not cause a burst.
 
 #include "Tests/Virtual/VirtualFleet.h"
 #include "Tests/Virtual/WordsKept.h"
@@ -20,14 +20,14 @@
 constexpr Milliseconds Settling{ 4000 };
 constexpr Milliseconds AtReturn{ 100 };
 
-/** Servers that turn everything away from a moment on, for the length of a pause, and what else happens. */
+/** Servers that refuse all requests for the duration of a pause, the load, and additional events. */
 struct Case {
     const char* name;
     std::size_t instances;
     std::size_t servers;
-    std::size_t asking; // of the servers
+    std::size_t asking; // number of servers that ask for a pause
     Milliseconds pause;
-    Milliseconds between; // requests of the whole fleet
+    Milliseconds between; // interval between requests to the whole fleet
     Milliseconds work;
     std::function<void(VirtualFleet&)> plan;
 };
@@ -44,12 +44,12 @@
     { "one of four", 3, 4, 1, { 2000 }, { 5 }, { 20 }, nothing },
     { "all at once", 3, 4, 4, { 2000 }, { 5 }, { 20 }, nothing },
     { "all at once, many instances", 95, 30, 30, { 3000 }, { 2 }, { 20 }, nothing },
-    { "slow work, which is hedged", 3, 4, 2, { 2000 }, { 40 }, { 200 }, nothing },
-    { "requests wait for room", 3, 3, 1, { 1500 }, { 3 }, { 40 }, nothing },
-    { "the records go and come back", 3, 4, 4, { 3000 }, { 5 }, { 20 }, returnTheRecords },
+    { "slow requests, which are hedged", 3, 4, 2, { 2000 }, { 40 }, { 200 }, nothing },
+    { "requests are queued for free slots", 3, 3, 1, { 1500 }, { 3 }, { 40 }, nothing },
+    { "the servers' records are removed and restored", 3, 4, 4, { 3000 }, { 5 }, { 20 }, returnTheRecords },
 };
 
-/** As much as a server works on in the tenth of a second after its pause, and what may wait there. */
+/** The requests that a server can process or queue in the AtReturn period that follows its pause. */
 std::size_t bearableAtReturn(const Case& item)
 {
     constexpr double slots = 3;
@@ -144,7 +144,7 @@
     CHECK(fleet.callers().at(other).outcome == CallerOutcome::Answered);
 }
 
-// Its first answer lets two more come, those four, and so on.
+// After a pause a server gets one request; each successful answer then doubles the number of concurrent requests.
 TEST(PausedServers, AreGivenMoreRequestsAsTheyAnswer)
 {
     VirtualFleet::Options options;
--- a/Tests/Node/RolloutTest.cpp
+++ b/Tests/Node/RolloutTest.cpp
@@ -1,7 +1,7 @@
-// A service is brought to a new version under load: a good one to its end in
-// time, a bad one back, however it is bad, and whoever writes the state is
-// killed, cut off, or loses the store meanwhile. Counted is what reached the new
-// version's servers, and that nothing is sent to the old ones once it is done.
+// Rolls out a new version of a service under load, while the instance that
+// writes the roll-out state is killed, suspended, partitioned or loses the
+// store. A good version must be completed in time, with no requests sent to the
+// old servers afterwards; a bad one must be rolled back after few requests.
 
 #include "Tests/Virtual/VirtualFleet.h"
 
@@ -21,7 +21,7 @@
 constexpr Milliseconds Gap{ 5 };
 constexpr std::size_t OldServers = 12;
 constexpr std::size_t NewServers = 12;
-/** What a bad version may get: a share of all requests, and so many more. */
+/** Upper bound of the requests that a bad version may get: this share of all requests plus a constant. */
 constexpr double ExposureShare = 0.1;
 constexpr double ExposureSlack = 50;
 
@@ -79,7 +79,7 @@
             this->fleet.server("n" + std::to_string(server)).setFault(fault);
     }
 
-    /** The instance that leads the watchers, or the first one that watches. */
+    /** The first live instance that watches the store. */
     std::size_t writer()
     {
         for (std::size_t instance = 0; instance < this->fleet.size(); ++instance) {
@@ -91,7 +91,7 @@
 
     std::size_t sentToNew(Milliseconds from) const { return this->sent(true, from); }
     std::size_t sentToOld(Milliseconds from) const { return this->sent(false, from); }
-    /** How many more than allowed reached the new version since the order. */
+    /** By how much the requests sent to the new version since the order exceed the bound. */
     double excess() const
     {
         const auto all = static_cast<double>(this->sentToNew(this->orderedAt) + this->sentToOld(this->orderedAt));
@@ -118,7 +118,7 @@
         v1::RequestRule* rule = service->add_rules();
         rule->set_path_prefix("/reports/");
         rule->set_repeat(v1::MAY_REPEAT);
-        // Before the order the new version's servers are not there.
+        // The new version's servers exist only after the roll-out has been ordered.
         auto& servers = *service->mutable_backend_servers();
         if (!isOrdered) {
             servers.erase(std::remove_if(servers.begin(), servers.end(),
@@ -138,11 +138,11 @@
     std::size_t turn = 0;
 };
 
-/** What happens while the new version is brought in. */
+/** A fault during the roll-out. */
 struct Case {
     const char* name;
-    std::function<void(RolledFleet&)> trouble; // after a quarter of the time
-    std::function<void(RolledFleet&)> heal; // after half of it
+    std::function<void(RolledFleet&)> trouble; // called after a quarter of the duration
+    std::function<void(RolledFleet&)> heal; // called after half of the duration
 };
 
 std::size_t struck = 0;
@@ -155,19 +155,19 @@
             rolled.fleet.kill(struck);
         },
         [](RolledFleet& rolled) { rolled.fleet.start(struck); } },
-    { "the writer stands still",
+    { "the writer is suspended",
         [](RolledFleet& rolled) {
             struck = rolled.writer();
             rolled.fleet.freeze(struck);
         },
         [](RolledFleet& rolled) { rolled.fleet.wake(struck); } },
-    { "the writer is cut off from the others",
+    { "the writer is partitioned from the others",
         [](RolledFleet& rolled) {
             struck = rolled.writer();
             rolled.fleet.cutFromPeers(struck, true);
         },
         [](RolledFleet& rolled) { rolled.fleet.cutFromPeers(struck, false); } },
-    { "the store turns the writer away",
+    { "the store rejects the writer",
         [](RolledFleet& rolled) {
             struck = rolled.writer();
             rolled.fleet.theStore().setTurnedAway("entry-" + std::to_string(struck + 1), true);
@@ -175,12 +175,12 @@
         [](RolledFleet& rolled) {
             rolled.fleet.theStore().setTurnedAway("entry-" + std::to_string(struck + 1), false);
         } },
-    { "the store is away", [](RolledFleet& rolled) { rolled.fleet.theStore().setFault(StoreFault::Silent); },
+    { "the store is silent", [](RolledFleet& rolled) { rolled.fleet.theStore().setFault(StoreFault::Silent); },
         [](RolledFleet& rolled) { rolled.fleet.theStore().setFault(StoreFault::None); } },
-    { "answers of the store are lost",
+    { "the store loses answers",
         [](RolledFleet& rolled) { rolled.fleet.theStore().setFault(StoreFault::LosesAnswers); },
         [](RolledFleet& rolled) { rolled.fleet.theStore().setFault(StoreFault::None); } },
-    { "all instances begin anew",
+    { "all instances restart",
         [](RolledFleet& rolled) {
             for (std::size_t instance = 0; instance < rolled.fleet.size(); ++instance)
                 rolled.fleet.kill(instance);
@@ -214,7 +214,7 @@
             }
             const std::string text = name + ", done after " + std::to_string((doneAt - rolled.orderedAt).count);
             CHECK_TEXT(doneAt <= rolled.orderedAt + Duration, text.c_str());
-            // From then on the old servers are gone.
+            // After completion the old servers are stopped.
             rolled.load({ 2000 });
             LONGS_EQUAL_TEXT(0, rolled.sentToOld(doneAt), name.c_str());
             for (std::size_t server = 0; server < OldServers; ++server)
@@ -233,7 +233,7 @@
     struct Bad {
         const char* name;
         ServerFault fault;
-        double from; // of the duration
+        double from; // time from which the version is bad, as a fraction of the duration
     };
     const std::vector<Bad> bads{ { "fails", ServerFault::Fails, 0 }, { "loses answers", ServerFault::LosesAnswers, 0 },
         { "is slow", ServerFault::Slow, 0 }, { "fails later", ServerFault::Fails, 0.4 },
@@ -278,7 +278,7 @@
     rolled.order();
     rolled.load(Duration);
     STRCMP_EQUAL("rolled_back", rolled.state().c_str());
-    // An instance that begins anew reads it from the store.
+    // A restarted instance must read the state from the store.
     rolled.fleet.kill(2);
     rolled.fleet.start(2);
     const Milliseconds from = rolled.fleet.now();
--- a/Tests/Node/ServerLimitsTest.cpp
+++ b/Tests/Node/ServerLimitsTest.cpp
@@ -1,6 +1,6 @@
-// Backend servers name in their answers how many requests a second they take
-// from all instances together: the whole fleet keeps to it in each sliding
-// window, whatever befalls it, and uses what it is given.
+// Backend servers state in their answers how many requests per second they take
+// from all instances together. The whole fleet must keep to this limit in every
+// sliding window under all of these faults, and must make use of it.
 
 #include "Tests/Virtual/LimitPlay.h"
 #include "Tests/Virtual/ParallelRuns.h"
@@ -99,13 +99,13 @@
     { "half a request a second", 13, 2, 2, 0.5, { 50 }, nothing },
     { "a high limit", 13, 2, 2, 30, { 8 }, nothing },
     { "95 instances", 95, 6, 6, 3, { 8 }, nothing },
-    { "the granting one is killed", 13, 2, 2, 5, { 20 }, killTheGranting, false },
-    { "the granting one stands still", 13, 2, 2, 5, { 20 }, freezeTheGranting, false },
-    { "the granting one is cut off", 13, 2, 2, 5, { 20 }, cutTheGranting, false },
-    { "halves", 12, 2, 2, 5, { 20 }, cutInHalves, false },
-    { "halves that hear the limit apart", 12, 2, 2, 5, { 20 }, cutInHalvesBefore, false, false },
-    { "all are killed and begin anew", 13, 2, 2, 5, { 20 }, killAll, false, false },
-    { "the store is away", 13, 2, 2, 5, { 20 }, storeAway },
+    { "the granting instance is killed", 13, 2, 2, 5, { 20 }, killTheGranting, false },
+    { "the granting instance is suspended", 13, 2, 2, 5, { 20 }, freezeTheGranting, false },
+    { "the granting instance is partitioned", 13, 2, 2, 5, { 20 }, cutTheGranting, false },
+    { "a partition in halves", 12, 2, 2, 5, { 20 }, cutInHalves, false },
+    { "a partition in halves before the limit is known", 12, 2, 2, 5, { 20 }, cutInHalvesBefore, false, false },
+    { "all are killed and restart", 13, 2, 2, 5, { 20 }, killAll, false, false },
+    { "the store is down", 13, 2, 2, 5, { 20 }, storeAway },
     { "half of the fleet joins", 26, 2, 2, 5, { 20 }, joinAll, false, true, 13 },
 };
 
@@ -113,7 +113,7 @@
 
 TEST_GROUP(ServerLimits){};
 
-// One answer without the word tells all that it is over; until then nothing else would.
+// An answer without a limit is the only sign that the limit has ended; all instances must learn of it from one answer.
 TEST(ServerLimits, EndForAllInstancesWithTheWord)
 {
     VirtualFleet::Options options;
--- a/Tests/Node/SilentRequestsTest.cpp
+++ b/Tests/Node/SilentRequestsTest.cpp
@@ -12,12 +12,12 @@
 
 constexpr Milliseconds Target{ 300 };
 constexpr Milliseconds Patience{ 10000 };
-/** Of the bookings that fill the sound server. */
+/** Processing time of the bookings that occupy the sound server. */
 constexpr Milliseconds Work{ 400 };
-/** Two looks after the sound server has room again, and its work. */
+/** Two hedge checks after the sound server has a free slot again, and the processing time. */
 constexpr Milliseconds AnsweredWithin{ 1500 };
 
-/** What stands beside the silent server when a second attempt is first thought of. */
+/** The servers besides the silent one when a hedge is first considered. */
 struct Case {
     const char* name;
     std::vector<std::string> servers;
@@ -25,8 +25,8 @@
 };
 
 const std::vector<Case> Cases{
-    { "the only other server is full for a moment", { "sound", "silent" }, false },
-    { "one other server is dead and one is full for a moment", { "sound", "silent", "dead" }, true },
+    { "the only other server is full for a short time", { "sound", "silent" }, false },
+    { "one other server is dead and one is full for a short time", { "sound", "silent", "dead" }, true },
 };
 
 v1::Configuration configurationOf(const std::vector<std::string>& servers, std::uint32_t revision)
@@ -42,7 +42,7 @@
     return configuration;
 }
 
-/** A search whose first attempt is never answered, while the sound server is full of bookings. */
+/** Runs a search whose first attempt is never answered, while all slots of the sound server hold bookings. */
 VirtualCaller searchOf(const Case& item)
 {
     VirtualFleet::Options options;
--- a/Tests/Node/SplitRoutesTest.cpp
+++ b/Tests/Node/SplitRoutesTest.cpp
@@ -1,8 +1,8 @@
-// Seen: for seven seconds after a route was divided 3 to 1 again, 85 of 100 of
-// its requests went to the smaller part. Before that it had led to the larger
-// part alone for 16 s.
-// Cause: each instance kept its turns through that time and went on counting
-// what was sent, so the smaller part was owed six to ten requests an instance.
+// Guards against wrong shares after the weights of a route change. A route had
+// sent all requests to its larger target for 16 s. When it was split 3 to 1
+// again, 85 of 100 requests went to the smaller target for seven seconds: each
+// instance had kept its weighted round-robin state and continued to count what
+// was sent, so it owed the smaller target six to ten requests.
 
 #include "Node/ServiceTable.h"
 #include "Routing/LoadAwarePolicy.h"
@@ -29,7 +29,7 @@
 const Parts Turned{ { .service = "small", .weight = 75 }, { .service = "large", .weight = 25 } };
 const Parts OnlyLarge{ { .service = "large", .weight = 1 } };
 
-/** The route tables of a fleet, whose instances see the requests of one route at random. */
+/** The service tables of a fleet whose instances receive the requests of one route at random. */
 class Fleet {
 public:
     explicit Fleet(std::size_t instances)
@@ -52,7 +52,7 @@
             table->setRouting(routing);
     }
 
-    /** The share of the larger part; of the smaller one's requests one in so many is refused before it is sent. */
+    /** The larger target's share of what is sent; one in refusedOneIn of the smaller target's requests is refused. */
     double shareOfLarge(std::size_t requests, std::size_t refusedOneIn = 0)
     {
         std::size_t large = 0;
@@ -76,7 +76,7 @@
     Random random{ 3 };
 };
 
-/** What the users allow a part to stray from its weight. */
+/** Accepted deviation of a target's share from its weight. */
 constexpr double Stray = 0.05;
 
 }
