--- a/Source/Node/CrashRecorder.cpp
+++ b/Source/Node/CrashRecorder.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-using EndKey = std::tuple<std::string, std::uint64_t, std::uint32_t>;
+using CrashKey = std::tuple<std::string, std::uint64_t, std::uint32_t>;
 
 /** Identifies the crashes of a record independent of their ages, which change with every encoding. */
-std::set<EndKey> keysOf(const peers::CrashNews& crashes)
+std::set<CrashKey> crashKeysOf(const peers::CrashNews& crashes)
 {
-    std::set<EndKey> keys;
+    std::set<CrashKey> keys;
     for (const peers::ServerEnd& end : crashes.ends())
         keys.emplace(end.digest(), end.server(), end.ordinal());
     return keys;
@@ -50,18 +50,18 @@
 
 void CrashRecorder::changed(Milliseconds now)
 {
-    this->dueAt = std::min(this->dueAt, now + this->options.settle);
+    this->dueAt = std::min(this->dueAt, now + this->options.settleDelay);
 }
 
 std::optional<StoreRequest> CrashRecorder::next(
     const peers::CrashNews& kept, const StoreItem* stored, bool leads, Milliseconds now)
 {
-    const auto there = stored ? readKeptCrashes(stored->value) : std::optional<peers::CrashNews>(std::in_place);
-    if (there && keysOf(*there) == keysOf(kept)) {
+    const auto storedCrashes = stored ? readKeptCrashes(stored->value) : std::optional<peers::CrashNews>(std::in_place);
+    if (storedCrashes && crashKeysOf(*storedCrashes) == crashKeysOf(kept)) {
         this->dueAt = Never;
         return std::nullopt;
     }
-    this->dueAt = now + this->options.recheck;
+    this->dueAt = now + this->options.recheckInterval;
     if (!leads)
         return std::nullopt;
     StoreRequest request;
@@ -91,7 +91,7 @@
     }
     // Before the next try, the watch delivers the current item: after a conflict another instance's, after a lost
     // answer possibly the one written here.
-    this->dueAt = now + this->options.settle + this->backoff.next(*this->random);
+    this->dueAt = now + this->options.settleDelay + this->backoff.next(*this->random);
     return true;
 }
 
--- a/Source/Node/CrashRecorder.h
+++ b/Source/Node/CrashRecorder.h
@@ -32,8 +32,8 @@
 class CrashRecorder {
 public:
     struct Options {
-        Milliseconds settle{ 200 }; // delay after a change; the second and third crash usually come close together
-        Milliseconds recheck{ 1000 }; // the leading watcher may fail before it has written
+        Milliseconds settleDelay{ 200 }; // delay after a change; the second and third crash usually come close together
+        Milliseconds recheckInterval{ 1000 }; // the leading watcher may fail before it has written
         Milliseconds answerTimeout{ 1500 };
     };
 
--- a/Source/Node/CrashingRequests.cpp
+++ b/Source/Node/CrashingRequests.cpp
@@ -8,15 +8,15 @@
 namespace {
 
 constexpr std::string_view SeenHere = "here";
-constexpr std::string_view ToldByOthers = "news";
-constexpr std::string_view KeptInStore = "store";
+constexpr std::string_view ReportedByPeers = "news";
+constexpr std::string_view ReadFromStore = "store";
 /**
  * Requests with at least this many counted crashes are forwarded at once and kept in the store. A single crash says
  * little: it counts against every request in flight on that server.
  */
-constexpr std::size_t EndsThatMatter = 2;
+constexpr std::size_t CrashesToForward = 2;
 /** Crashes of one request in the store record; three are enough to refuse it. */
-constexpr std::size_t MostEndsKept = 8;
+constexpr std::size_t MaxStoredCrashesPerRequest = 8;
 
 }
 
@@ -45,7 +45,7 @@
     return std::max(Milliseconds{}, this->table.refusedUntil(request.digest) - now);
 }
 
-bool CrashingRequests::mayHaveProof(const RequestState& request) const
+bool CrashingRequests::mayBeCrashing(const RequestState& request) const
 {
     return this->table.countedEnds(keyOf(request)) + this->broken.of(request.digest) >= CrashTable::ServersThatProve;
 }
@@ -56,7 +56,7 @@
         this->table.tried(request.digest, now);
 }
 
-void CrashingRequests::broke(
+void CrashingRequests::connectionBroke(
     const RequestState& request, const BackendServerState& server, Milliseconds now, Actions& actions)
 {
     // A draining or leaving server ends as planned.
@@ -78,17 +78,17 @@
 {
     if (!this->isSuspect(request))
         return;
-    const bool isWidelyKnown = this->table.countedEnds(request.digest) >= EndsThatMatter;
+    const bool isWidelyKnown = this->table.countedEnds(request.digest) >= CrashesToForward;
     if (!this->table.answered(request.digest, callerNumber(request.caller), now, now))
         return;
     this->counters->add(DecisionCount::CrashesDisproved);
     this->ownAnswers.push_back({ .digest = request.digest, .caller = callerNumber(request.caller), .at = now });
-    this->cleared(request.digest, SeenHere, actions);
+    this->handleCleared(request.digest, SeenHere, actions);
     if (isWidelyKnown)
-        this->tellSoon(now);
+        this->scheduleReport(now);
 }
 
-void CrashingRequests::cleared(const RequestDigest& digest, std::string_view heardFrom, Actions& actions)
+void CrashingRequests::handleCleared(const RequestDigest& digest, std::string_view heardFrom, Actions& actions)
 {
     this->hasChanged = true;
     actions.emplace_back(beliefOf("crash_suspicion_ended", digest.text()).with("heard_from", heardFrom));
@@ -98,7 +98,7 @@
 {
     switch (event.result) {
     case ServerCheck::NobodyListens:
-        return this->serverEnded(event.backendServer, now, actions);
+        return this->handleServerCrash(event.backendServer, now, actions);
     case ServerCheck::CameUp:
         return this->broken.cameUp(event.backendServer, now);
     case ServerCheck::NoAnswer:
@@ -109,10 +109,10 @@
 
 void CrashingRequests::replaced(const std::string& backendServer, Milliseconds now, Actions& actions)
 {
-    this->serverEnded(backendServer, now, actions);
+    this->handleServerCrash(backendServer, now, actions);
 }
 
-void CrashingRequests::serverEnded(const std::string& backendServer, Milliseconds now, Actions& actions)
+void CrashingRequests::handleServerCrash(const std::string& backendServer, Milliseconds now, Actions& actions)
 {
     for (const BrokenAttempt& attempt : this->broken.ended(backendServer)) {
         const std::uint64_t server = serverNumber(attempt.backendServer, attempt.life);
@@ -125,7 +125,7 @@
         if (!this->table.add(attempt.digest, end, now))
             continue;
         this->counters->add(DecisionCount::ServerEndsSeen);
-        this->ownEnds.push_back({ .digest = attempt.digest, .end = end });
+        this->ownCrashes.push_back({ .digest = attempt.digest, .end = end });
         actions.emplace_back(beliefOf("server_ended_under_request", attempt.digest.text())
                                  .with("server", attempt.backendServer)
                                  .with("route", attempt.route)
@@ -133,15 +133,15 @@
                                  .with("caller", attempt.caller)
                                  .with("ends", std::uint64_t{ this->table.ends(attempt.digest).size() })
                                  .with("counted", std::uint64_t{ this->table.countedEnds(attempt.digest) }));
-        this->learned(attempt.digest, wasCrashing, SeenHere, actions);
-        this->tellSoon(now);
+        this->handleNewCrash(attempt.digest, wasCrashing, SeenHere, actions);
+        this->scheduleReport(now);
     }
 }
 
-void CrashingRequests::learned(
+void CrashingRequests::handleNewCrash(
     const RequestDigest& digest, bool wasCrashing, std::string_view heardFrom, Actions& actions)
 {
-    this->hasChanged = this->hasChanged || this->table.countedEnds(digest) >= EndsThatMatter;
+    this->hasChanged = this->hasChanged || this->table.countedEnds(digest) >= CrashesToForward;
     if (wasCrashing || !this->table.isCrashing(digest))
         return;
     this->counters->add(DecisionCount::RequestsFoundCrashing);
@@ -150,20 +150,20 @@
                              .with("heard_from", heardFrom));
 }
 
-void CrashingRequests::tellSoon(Milliseconds now)
+void CrashingRequests::scheduleReport(Milliseconds now)
 {
-    this->tellAt = std::min(this->tellAt, std::max(now, this->toldAt + this->options.tellGap));
+    this->reportAt = std::min(this->reportAt, std::max(now, this->lastReportAt + this->options.minReportInterval));
 }
 
 void CrashingRequests::told(Milliseconds now)
 {
-    this->toldAt = now;
-    this->tellAt = Never;
+    this->lastReportAt = now;
+    this->reportAt = Never;
 }
 
-std::vector<ToldEnd> CrashingRequests::endsSince(Milliseconds from) const
+std::vector<CrashReport> CrashingRequests::crashesSince(Milliseconds from) const
 {
-    std::vector<ToldEnd> found;
+    std::vector<CrashReport> found;
     for (const RequestDigest& digest : this->table.withCountedEnds(0)) {
         for (const ServerEnd& end : this->table.ends(digest)) {
             if (end.at > from)
@@ -173,69 +173,69 @@
     return found;
 }
 
-void CrashingRequests::write(std::vector<ToldEnd> ends, std::span<const CrashTable::Answer> answers, Milliseconds now,
-    peers::CrashNews& message) const
+void CrashingRequests::write(std::vector<CrashReport> ends, std::span<const CrashTable::Answer> answers,
+    Milliseconds now, peers::CrashNews& message) const
 {
     // If the message cannot hold all, the requests closest to being refused go first.
-    std::stable_sort(ends.begin(), ends.end(), [this](const ToldEnd& left, const ToldEnd& right) {
+    std::stable_sort(ends.begin(), ends.end(), [this](const CrashReport& left, const CrashReport& right) {
         return this->table.countedEnds(left.digest) > this->table.countedEnds(right.digest);
     });
-    ends.resize(std::min(ends.size(), this->options.mostTold));
-    for (const ToldEnd& item : ends)
+    ends.resize(std::min(ends.size(), this->options.maxCrashesPerMessage));
+    for (const CrashReport& item : ends)
         burlreach::write(item, now, *message.add_ends());
-    for (const CrashTable::Answer& item : answers.first(std::min(answers.size(), this->options.mostTold)))
+    for (const CrashTable::Answer& item : answers.first(std::min(answers.size(), this->options.maxCrashesPerMessage)))
         burlreach::write(
-            ToldAnswer{ .digest = item.digest, .caller = item.caller, .at = item.at }, now, *message.add_answers());
+            AnswerReport{ .digest = item.digest, .caller = item.caller, .at = item.at }, now, *message.add_answers());
 }
 
 void CrashingRequests::fillWithOwn(peers::CrashNews& message, Milliseconds now)
 {
-    this->forgetTold(now);
-    this->write(this->ownEnds, this->ownAnswers, now, message);
+    this->dropExpiredReports(now);
+    this->write(this->ownCrashes, this->ownAnswers, now, message);
 }
 
 void CrashingRequests::fillWithAll(peers::CrashNews& message, Milliseconds now) const
 {
-    const Milliseconds from = now - this->options.toldFor;
-    this->write(this->endsSince(from), this->table.answersSince(from), now, message);
+    const Milliseconds from = now - this->options.reportFor;
+    this->write(this->crashesSince(from), this->table.answersSince(from), now, message);
 }
 
 void CrashingRequests::receive(const peers::CrashNews& message, bool passesOn, Milliseconds now, Actions& actions)
 {
     for (const peers::RequestAnswered& item : message.answers()) {
-        const auto told = read(item, now);
-        if (told && this->table.answered(told->digest, told->caller, told->at, now))
-            this->cleared(told->digest, ToldByOthers, actions);
+        const auto report = read(item, now);
+        if (report && this->table.answered(report->digest, report->caller, report->at, now))
+            this->handleCleared(report->digest, ReportedByPeers, actions);
     }
     for (const peers::ServerEnd& item : message.ends()) {
-        const auto told = read(item, now);
-        if (!told)
+        const auto report = read(item, now);
+        if (!report)
             continue;
-        const bool wasCrashing = this->table.isCrashing(told->digest);
-        if (!this->table.add(told->digest, told->end, now))
+        const bool wasCrashing = this->table.isCrashing(report->digest);
+        if (!this->table.add(report->digest, report->end, now))
             continue;
-        this->learned(told->digest, wasCrashing, ToldByOthers, actions);
-        if (passesOn && this->table.countedEnds(told->digest) >= EndsThatMatter)
-            this->tellSoon(now);
+        this->handleNewCrash(report->digest, wasCrashing, ReportedByPeers, actions);
+        if (passesOn && this->table.countedEnds(report->digest) >= CrashesToForward)
+            this->scheduleReport(now);
     }
 }
 
 peers::CrashNews CrashingRequests::kept(Milliseconds now) const
 {
-    std::vector<RequestDigest> digests = this->table.withCountedEnds(EndsThatMatter);
+    std::vector<RequestDigest> digests = this->table.withCountedEnds(CrashesToForward);
     std::stable_sort(digests.begin(), digests.end(), [this](const RequestDigest& left, const RequestDigest& right) {
         return this->table.countedEnds(left) > this->table.countedEnds(right);
     });
-    digests.resize(std::min(digests.size(), this->options.mostKept));
+    digests.resize(std::min(digests.size(), this->options.maxStoredRequests));
     peers::CrashNews message;
     for (const RequestDigest& digest : digests) {
         const auto ends = this->table.ends(digest);
-        for (const ServerEnd& end : ends.first(std::min(ends.size(), MostEndsKept)))
-            burlreach::write(ToldEnd{ .digest = digest, .end = end }, now, *message.add_ends());
+        for (const ServerEnd& end : ends.first(std::min(ends.size(), MaxStoredCrashesPerRequest)))
+            burlreach::write(CrashReport{ .digest = digest, .end = end }, now, *message.add_ends());
         // Without the answer, a reader would take crashes from several callers as proof against all callers.
         if (this->table.answeredAt(digest) != LongAgo)
             burlreach::write(
-                ToldAnswer{ .digest = digest, .at = this->table.answeredAt(digest) }, now, *message.add_answers());
+                AnswerReport{ .digest = digest, .at = this->table.answeredAt(digest) }, now, *message.add_answers());
     }
     return message;
 }
@@ -244,16 +244,16 @@
 {
     this->hasChanged = true;
     for (const peers::ServerEnd& item : message.ends()) {
-        const auto told = read(item, now);
-        if (!told)
+        const auto report = read(item, now);
+        if (!report)
             continue;
-        const bool wasCrashing = this->table.isCrashing(told->digest);
-        if (this->table.addKept(told->digest, told->end, now))
-            this->learned(told->digest, wasCrashing, KeptInStore, actions);
+        const bool wasCrashing = this->table.isCrashing(report->digest);
+        if (this->table.addKept(report->digest, report->end, now))
+            this->handleNewCrash(report->digest, wasCrashing, ReadFromStore, actions);
     }
     for (const peers::RequestAnswered& item : message.answers()) {
-        if (const auto told = read(item, now))
-            this->table.answered(told->digest, told->caller, told->at, now);
+        if (const auto report = read(item, now))
+            this->table.answered(report->digest, report->caller, report->at, now);
     }
 }
 
@@ -269,17 +269,17 @@
             CheckServer{ .backendServer = std::move(server.backendServer), .address = std::move(server.address) });
 }
 
-void CrashingRequests::forgetTold(Milliseconds now)
+void CrashingRequests::dropExpiredReports(Milliseconds now)
 {
-    const Milliseconds from = now - this->options.toldFor;
-    std::erase_if(this->ownEnds, [from](const ToldEnd& item) { return item.end.at <= from; });
+    const Milliseconds from = now - this->options.reportFor;
+    std::erase_if(this->ownCrashes, [from](const CrashReport& item) { return item.end.at <= from; });
     std::erase_if(this->ownAnswers, [from](const CrashTable::Answer& item) { return item.at <= from; });
 }
 
 void CrashingRequests::tick(Milliseconds now)
 {
     // A single instance sends no reports, so fillWithOwn() does not drop old entries there.
-    this->forgetTold(now);
+    this->dropExpiredReports(now);
     const std::size_t before = this->table.size();
     this->table.expire(now);
     this->hasChanged = this->hasChanged || this->table.size() != before;
--- a/Source/Node/CrashingRequests.h
+++ b/Source/Node/CrashingRequests.h
@@ -40,10 +40,10 @@
     struct Options {
         CrashTable::Options table;
         /** A crash is reported for this long: five hellos, and longer than an instance needs to find new watchers. */
-        Milliseconds toldFor{ 6000 };
-        Milliseconds tellGap{ 150 }; // minimum interval between immediate reports when many servers crash together
-        std::size_t mostTold = 12; // crashes in a message, about 0.8 KB; three watchers each send one every 1.2 s
-        std::size_t mostKept = 64; // requests in the store record; with 8 crashes each about 32 KB
+        Milliseconds reportFor{ 6000 };
+        Milliseconds minReportInterval{ 150 }; // between immediate reports, when many servers crash together
+        std::size_t maxCrashesPerMessage = 12; // about 0.8 KB, which each of three watchers sends every 1.2 s
+        std::size_t maxStoredRequests = 64; // about 32 KB in the store with 8 crashes of each request
     };
 
     CrashingRequests(Options options, DecisionCounters& counters);
@@ -58,11 +58,12 @@
      * True when the known crashes, together with broken connections whose servers are still being checked, may be
      * enough to refuse the request; a retry could then crash one server more than needed.
      */
-    bool mayHaveProof(const RequestState& request) const;
+    bool mayBeCrashing(const RequestState& request) const;
 
     void sent(const RequestState& request, Milliseconds now);
     /** The connection of an attempt broke before the answer. */
-    void broke(const RequestState& request, const BackendServerState& server, Milliseconds now, Actions& actions);
+    void connectionBroke(
+        const RequestState& request, const BackendServerState& server, Milliseconds now, Actions& actions);
     /** A server answered the request completely. */
     void answered(const RequestState& request, Milliseconds now, Actions& actions);
     void checked(const ServerChecked& event, Milliseconds now, Actions& actions);
@@ -89,9 +90,9 @@
     void tick(Milliseconds now);
 
     /** When to send a report to other instances; Never when none is urgent. */
-    Milliseconds nextTelling() const { return this->tellAt; }
+    Milliseconds nextTelling() const { return this->reportAt; }
     /** When a report or a second check is due. */
-    Milliseconds nextDue() const { return std::min(this->tellAt, this->broken.nextLook()); }
+    Milliseconds nextDue() const { return std::min(this->reportAt, this->broken.nextLook()); }
     void told(Milliseconds now);
 
     v1::ShowCrashingRequestsAnswer show(Milliseconds now) const;
@@ -99,26 +100,26 @@
 
 private:
     static CallersRequest keyOf(const RequestState& request);
-    void serverEnded(const std::string& backendServer, Milliseconds now, Actions& actions);
+    void handleServerCrash(const std::string& backendServer, Milliseconds now, Actions& actions);
     /** Handles a crash that was not known before; logs when it makes the request count as crashing. */
-    void learned(const RequestDigest& digest, bool wasCrashing, std::string_view heardFrom, Actions& actions);
-    void cleared(const RequestDigest& digest, std::string_view heardFrom, Actions& actions);
-    void tellSoon(Milliseconds now);
+    void handleNewCrash(const RequestDigest& digest, bool wasCrashing, std::string_view heardFrom, Actions& actions);
+    void handleCleared(const RequestDigest& digest, std::string_view heardFrom, Actions& actions);
+    void scheduleReport(Milliseconds now);
     /** Drops own crashes and answers that are too old to be reported. */
-    void forgetTold(Milliseconds now);
-    std::vector<ToldEnd> endsSince(Milliseconds from) const;
-    void write(std::vector<ToldEnd> ends, std::span<const CrashTable::Answer> answers, Milliseconds now,
+    void dropExpiredReports(Milliseconds now);
+    std::vector<CrashReport> crashesSince(Milliseconds from) const;
+    void write(std::vector<CrashReport> ends, std::span<const CrashTable::Answer> answers, Milliseconds now,
         peers::CrashNews& message) const;
 
     Options options;
     DecisionCounters* counters;
     CrashTable table;
     BrokenAttempts broken;
-    std::vector<ToldEnd> ownEnds; // seen by this instance and still reported
+    std::vector<CrashReport> ownCrashes; // seen by this instance and still reported
     std::vector<CrashTable::Answer> ownAnswers;
     bool hasChanged = false;
-    Milliseconds tellAt = Never;
-    Milliseconds toldAt = LongAgo;
+    Milliseconds reportAt = Never;
+    Milliseconds lastReportAt = LongAgo;
 };
 
 }
--- a/Source/Node/CustomerGate.cpp
+++ b/Source/Node/CustomerGate.cpp
@@ -2,7 +2,7 @@
 
 namespace burlreach {
 
-CallerIdentity CustomerGate::judge(const CustomerTable& customers, const Route& route, const Credential& credential)
+CallerIdentity CustomerGate::identify(const CustomerTable& customers, const Route& route, const Credential& credential)
 {
     CallerIdentity identity;
     identity.isKeyKept = customers.hasCustomers();
--- a/Source/Node/CustomerGate.h
+++ b/Source/Node/CustomerGate.h
@@ -17,14 +17,14 @@
     std::string customer; // empty: no customer
     bool isKeyKept = false; // do not forward the caller's key to backend servers; true if customers are configured
     std::optional<std::uint32_t> rank; // of the customer
-    std::uint64_t judgedBy = 0; // this instance's number of the configuration used for the check
+    std::uint64_t configurationNumber = 0; // this instance's number of the configuration used for the check
 };
 
 /** Identifies the customer of a request by its key. */
 class CustomerGate {
 public:
     /** If any customers are configured, a request needs a valid key unless its route is public. */
-    static CallerIdentity judge(const CustomerTable& customers, const Route& route, const Credential& credential);
+    static CallerIdentity identify(const CustomerTable& customers, const Route& route, const Credential& credential);
 };
 
 }
--- a/Source/Node/QuotaDesk.cpp
+++ b/Source/Node/QuotaDesk.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /** Upper bound of the waiting time sent to another instance, in milliseconds. */
-constexpr double LongestWaitTold = 60000;
+constexpr double MaxWaitMilliseconds = 60000;
 
 }
 
@@ -57,40 +57,40 @@
     return customer && customer->limit.isSet() ? customer : nullptr;
 }
 
-CreditDecision QuotaDesk::request(RequestState& request, Milliseconds now)
+CreditDecision QuotaDesk::requestCredit(RequestState& request, Milliseconds now)
 {
     const Customer* customer = this->customerOf(request);
     if (!customer)
         return { .outcome = CreditDecision::Outcome::Granted, .grantedAt = now, .comeBackAfter = {} };
     const CreditDecision decision = this->desk.request(request.number, *customer, now);
     if (decision.outcome == CreditDecision::Outcome::Granted)
-        request.creditAt = decision.grantedAt;
+        request.creditGrantedAt = decision.grantedAt;
     return decision;
 }
 
-bool QuotaDesk::mayStillSend(RequestState& request, Milliseconds now)
+bool QuotaDesk::ensureCredit(RequestState& request, Milliseconds now)
 {
     // Credit counts as used once an attempt may have run, so a retry needs no new credit.
-    if (!request.creditAt || request.history.mayHaveRun || now - *request.creditAt < CreditLife)
+    if (!request.creditGrantedAt || request.history.mayHaveRun || now - *request.creditGrantedAt < CreditLife)
         return true;
     const Customer* customer = this->customerOf(request);
     if (!customer)
         return true;
-    request.creditAt = this->desk.takeLocal(*customer, now);
-    if (!request.creditAt && this->grantFromHere(*customer, 1, now).amount)
-        request.creditAt = now;
-    return request.creditAt.has_value();
+    request.creditGrantedAt = this->desk.takeLocal(*customer, now);
+    if (!request.creditGrantedAt && this->grantLocally(*customer, 1, now).amount)
+        request.creditGrantedAt = now;
+    return request.creditGrantedAt.has_value();
 }
 
-void QuotaDesk::ended(const RequestState& request, Milliseconds now)
+void QuotaDesk::requestEnded(const RequestState& request, Milliseconds now)
 {
     if (request.phase == RequestPhase::AwaitingCredit)
         this->desk.forget(request.number, request.identity.customer);
-    else if (request.creditAt && !request.history.mayHaveRun)
-        this->desk.giveBack(request.identity.customer, *request.creditAt, now);
+    else if (request.creditGrantedAt && !request.history.mayHaveRun)
+        this->desk.giveBack(request.identity.customer, *request.creditGrantedAt, now);
 }
 
-void QuotaDesk::add(std::vector<CreditDesk::Settled> more)
+void QuotaDesk::addSettled(std::vector<CreditDesk::Settled> more)
 {
     this->settled.insert(this->settled.end(), more.begin(), more.end());
 }
@@ -100,7 +100,7 @@
     actions.emplace_back(addressedTo(address, this->options.self.incarnation(), std::move(message)));
 }
 
-CreditGrant QuotaDesk::grantFromHere(const Customer& customer, unsigned requests, Milliseconds now)
+CreditGrant QuotaDesk::grantLocally(const Customer& customer, unsigned requests, Milliseconds now)
 {
     const CreditGrant grant = this->grants.grant(customer, requests, this->mode(now), now);
     this->parts.counters->add(DecisionCount::CreditsGranted, grant.amount);
@@ -115,14 +115,14 @@
     const auto holder = this->tenure.holder();
     const bool isHere = this->mode(now) != GrantMode::None;
     if (!isHere && (!holder || holder->incarnation().name() == this->options.self.incarnation().name()))
-        return this->add(this->desk.nobodyGrants(now));
+        return this->addSettled(this->desk.nobodyGrants(now));
     for (const CreditDesk::Ask& ask : asks) {
         this->parts.counters->add(DecisionCount::CreditsAsked, ask.requests);
         const Customer* customer = this->parts.services->customers().byName(ask.customer);
         if (isHere && customer) {
-            this->add(this->desk.answered({ .number = ask.number,
-                                              .customer = ask.customer,
-                                              .grant = this->grantFromHere(*customer, ask.requests, now) },
+            this->addSettled(this->desk.answered({ .number = ask.number,
+                                                     .customer = ask.customer,
+                                                     .grant = this->grantLocally(*customer, ask.requests, now) },
                 now));
             continue;
         }
@@ -138,7 +138,7 @@
     }
 }
 
-void QuotaDesk::asked(const peers::CreditAsk& ask, Milliseconds now, Actions& actions)
+void QuotaDesk::handleAsk(const peers::CreditAsk& ask, Milliseconds now, Actions& actions)
 {
     const auto address = unpackNetworkAddress(ask.reply_to());
     if (!address)
@@ -147,13 +147,13 @@
     const bool isGranting = this->mode(now) != GrantMode::None;
     CreditGrant grant;
     if (isGranting && customer)
-        grant = this->grantFromHere(*customer, ask.requests(), now);
+        grant = this->grantLocally(*customer, ask.requests(), now);
     peers::PeerMessage message;
     peers::CreditAnswer& answer = *message.mutable_credit_answer();
     answer.set_number(ask.number());
     answer.set_customer(ask.customer());
     answer.set_requests(grant.amount);
-    const double wait = std::clamp(grant.wait.count, 0.0, LongestWaitTold);
+    const double wait = std::clamp(grant.wait.count, 0.0, MaxWaitMilliseconds);
     answer.set_wait_milliseconds(static_cast<std::uint32_t>(wait));
     answer.set_not_granting(!isGranting);
     this->sendTo(*address, std::move(message), actions);
@@ -164,13 +164,13 @@
     if (message.version() != PeerProtocolVersion)
         return this->parts.counters->add(DecisionCount::PeerMessagesRefused);
     if (message.has_credit_ask())
-        return this->asked(message.credit_ask(), now, actions);
+        return this->handleAsk(message.credit_ask(), now, actions);
     const peers::CreditAnswer& answer = message.credit_answer();
     const Milliseconds wait{ static_cast<double>(answer.wait_milliseconds()) };
-    this->add(this->desk.answered({ .number = answer.number(),
-                                      .customer = answer.customer(),
-                                      .grant = { .amount = answer.requests(), .wait = wait },
-                                      .isGranting = !answer.not_granting() },
+    this->addSettled(this->desk.answered({ .number = answer.number(),
+                                             .customer = answer.customer(),
+                                             .grant = { .amount = answer.requests(), .wait = wait },
+                                             .isGranting = !answer.not_granting() },
         now));
 }
 
--- a/Source/Node/QuotaDesk.h
+++ b/Source/Node/QuotaDesk.h
@@ -49,18 +49,18 @@
     QuotaDesk(const Options& options, Parts parts);
 
     /** Requests credit for a new request; an awaited decision is returned later by takeSettled(). */
-    CreditDecision request(RequestState& request, Milliseconds now);
+    CreditDecision requestCredit(RequestState& request, Milliseconds now);
     /** Checked before each send: true when the request's credit is still valid or can be replaced without waiting. */
-    bool mayStillSend(RequestState& request, Milliseconds now);
+    bool ensureCredit(RequestState& request, Milliseconds now);
     /** The request has ended; credit that it did not use is returned. */
-    void ended(const RequestState& request, Milliseconds now);
+    void requestEnded(const RequestState& request, Milliseconds now);
     /** Asks the grantor for outstanding credit; to be called after new requests. */
     void askForCredit(Milliseconds now, Actions& actions);
     /** The decisions made since the last call of this function. */
     std::vector<CreditDesk::Settled> takeSettled() { return std::exchange(this->settled, {}); }
 
     void receive(const peers::PeerMessage& message, Milliseconds now, Actions& actions);
-    void tick(Milliseconds now) { this->add(this->desk.tick(now)); }
+    void tick(Milliseconds now) { this->addSettled(this->desk.tick(now)); }
     Milliseconds nextDue() const { return this->desk.nextDue(); }
 
     /** Sets the minimum size of the fleet; empty while it is not known. */
@@ -76,9 +76,9 @@
 
 private:
     const Customer* customerOf(const RequestState& request) const;
-    CreditGrant grantFromHere(const Customer& customer, unsigned requests, Milliseconds now);
-    void asked(const peers::CreditAsk& ask, Milliseconds now, Actions& actions);
-    void add(std::vector<CreditDesk::Settled> more);
+    CreditGrant grantLocally(const Customer& customer, unsigned requests, Milliseconds now);
+    void handleAsk(const peers::CreditAsk& ask, Milliseconds now, Actions& actions);
+    void addSettled(std::vector<CreditDesk::Settled> more);
     void sendTo(const NetworkAddress& address, peers::PeerMessage message, Actions& actions) const;
 
     Options options;
--- a/Source/Node/RefusalRules.cpp
+++ b/Source/Node/RefusalRules.cpp
@@ -6,7 +6,7 @@
 
 namespace burlreach {
 
-std::optional<RefusalReason> refusedAtOnce(const RequestState& request, NoChoice choice, Milliseconds now)
+std::optional<RefusalReason> immediateRefusal(const RequestState& request, NoChoice choice, Milliseconds now)
 {
     const ServicePool& pool = request.service->pool;
     if (pool.isEmptied())
@@ -20,7 +20,7 @@
     return std::nullopt;
 }
 
-RefusalReason whyNobodyTook(const RequestState& request)
+RefusalReason refusalAfterWaiting(const RequestState& request)
 {
     const auto servers = request.service->pool.servers();
     const bool anyTakes
@@ -28,7 +28,7 @@
     return anyTakes ? RefusalReason::WaitedTooLong : RefusalReason::NoBackendServer;
 }
 
-RefusalReason reasonAfter(AttemptResult result)
+RefusalReason refusalAfterAttempt(AttemptResult result)
 {
     switch (result) {
     case AttemptResult::NotSent:
@@ -42,12 +42,12 @@
     }
 }
 
-bool mayBePassed(const Route& route, const AttemptEnd& end)
+bool mayPassErrorAnswer(const Route& route, const AttemptEnd& end)
 {
     return !end.isPromise || route.repeat == Repeat::MayRepeat;
 }
 
-Milliseconds comeBackOf(const RequestState& request, RefusalReason reason, double random, Milliseconds now)
+Milliseconds retryAfterFor(const RequestState& request, RefusalReason reason, double random, Milliseconds now)
 {
     const Milliseconds usual = comeBackAfter(reason, request.route->targetLatency, random);
     if (!request.service)
--- a/Source/Node/RefusalRules.h
+++ b/Source/Node/RefusalRules.h
@@ -12,25 +12,25 @@
  * queueing it, because no server can become available while it may wait.
  * Empty when waiting may help.
  */
-std::optional<RefusalReason> refusedAtOnce(const RequestState& request, NoChoice choice, Milliseconds now);
+std::optional<RefusalReason> immediateRefusal(const RequestState& request, NoChoice choice, Milliseconds now);
 
 /** The reason to refuse a request whose waiting time in the queue is over. */
-RefusalReason whyNobodyTook(const RequestState& request);
+RefusalReason refusalAfterWaiting(const RequestState& request);
 
 /** The reason to refuse a request whose last attempt had this result. */
-RefusalReason reasonAfter(AttemptResult result);
+RefusalReason refusalAfterAttempt(AttemptResult result);
 
 /**
  * Whether a server's error answer may be passed to the caller. False for a run-once request when the status code would
  * state, without proof, that the request did not run.
  */
-bool mayBePassed(const Route& route, const AttemptEnd& end);
+bool mayPassErrorAnswer(const Route& route, const AttemptEnd& end);
 
 /**
  * The retry-after time for a refused request. It is not before the end of a
  * pause that all servers asked for, or before the next send permit. The random
  * value is from 0 to 1 and spreads the callers' retries.
  */
-Milliseconds comeBackOf(const RequestState& request, RefusalReason reason, double random, Milliseconds now);
+Milliseconds retryAfterFor(const RequestState& request, RefusalReason reason, double random, Milliseconds now);
 
 }
--- a/Source/Node/RequestFlow.cpp
+++ b/Source/Node/RequestFlow.cpp
@@ -13,12 +13,12 @@
 namespace {
 
 /** Higher ranks are treated as this one. */
-constexpr std::uint32_t LastRank = 1000;
+constexpr std::uint32_t MaxRank = 1000;
 /**
  * Lower bound of the time between two hedge checks of the same request. It keeps the number of timers small where
  * answers take less than a millisecond.
  */
-constexpr Milliseconds ShortestHedgeInterval{ 20 };
+constexpr Milliseconds MinHedgeInterval{ 20 };
 
 }
 
@@ -31,12 +31,12 @@
 {
 }
 
-std::uint32_t RequestFlow::placeOf(const RequestState& request)
+std::uint32_t RequestFlow::queueRank(const RequestState& request)
 {
     // A late request may be sent only to lightly loaded servers. At the front of the queue it would block requests that
     // may go to busier ones.
-    const std::uint32_t customerRank = std::min(request.identity.rank.value_or(request.route->rank), LastRank);
-    const std::uint32_t rank = customerRank * (LastRank + 1) + std::min(request.route->rank, LastRank);
+    const std::uint32_t customerRank = std::min(request.identity.rank.value_or(request.route->rank), MaxRank);
+    const std::uint32_t rank = customerRank * (MaxRank + 1) + std::min(request.route->rank, MaxRank);
     return rank * 2 + (request.isLate ? 1 : 0);
 }
 
@@ -51,49 +51,51 @@
     if (!route)
         return this->refuseUnrouted(event, RefusalReason::NoRoute, actions);
     RequestState& request = this->open(event, std::move(route), now);
-    if (const auto reason = this->judgeKey(request))
+    if (const auto reason = this->checkKey(request))
         return this->refuse(request, *reason, now, actions);
     if (!request.service)
         return this->refuse(request, RefusalReason::NoBackendServer, now, actions);
     if (request.service->pool.isEmptied())
         return this->refuse(request, RefusalReason::DataCentreEmptied, now, actions);
-    if (const auto reason = this->whyNotSent(request, now))
+    if (const auto reason = this->reasonNotToSend(request, now))
         return this->refuse(request, *reason, now, actions);
     if (request.service->queue.size() >= request.service->description.queueLength)
         return this->refuse(request, RefusalReason::QueueFull, now, actions);
     request.service->retryBudget.firstAttempt(now);
-    this->judgeCaller(request);
-    this->takeCredit(request, this->parts.quotas->request(request, now), now, actions);
+    this->classifyCaller(request);
+    this->handleCreditDecision(request, this->parts.quotas->requestCredit(request, now), now, actions);
     this->parts.quotas->askForCredit(now, actions);
     this->creditDecided(now, actions);
 }
 
-std::optional<RefusalReason> RequestFlow::judgeKey(RequestState& request) const
+std::optional<RefusalReason> RequestFlow::checkKey(RequestState& request) const
 {
     const std::uint64_t present = this->parts.services->routingNumber();
-    if (request.identity.judgedBy != present) {
-        request.identity = CustomerGate::judge(this->parts.services->customers(), *request.route, request.credential);
-        request.identity.judgedBy = present;
+    if (request.identity.configurationNumber != present) {
+        request.identity
+            = CustomerGate::identify(this->parts.services->customers(), *request.route, request.credential);
+        request.identity.configurationNumber = present;
     }
     return request.identity.problem;
 }
 
-std::optional<RefusalReason> RequestFlow::whyNotSent(RequestState& request, Milliseconds now) const
+std::optional<RefusalReason> RequestFlow::reasonNotToSend(RequestState& request, Milliseconds now) const
 {
-    if (const auto reason = this->judgeKey(request))
+    if (const auto reason = this->checkKey(request))
         return reason;
     if (this->parts.crashes->isRefused(request, now))
         return RefusalReason::CrashesBackendServers;
-    if (!this->parts.quotas->mayStillSend(request, now))
+    if (!this->parts.quotas->ensureCredit(request, now))
         return RefusalReason::QuotaUnconfirmed;
     return std::nullopt;
 }
 
-void RequestFlow::takeCredit(RequestState& request, const CreditDecision& decision, Milliseconds now, Actions& actions)
+void RequestFlow::handleCreditDecision(
+    RequestState& request, const CreditDecision& decision, Milliseconds now, Actions& actions)
 {
     switch (decision.outcome) {
     case CreditDecision::Outcome::Granted:
-        return this->begin(request, now, actions);
+        return this->startSearch(request, now, actions);
     case CreditDecision::Outcome::Awaited:
         request.phase = RequestPhase::AwaitingCredit;
         return;
@@ -115,32 +117,32 @@
         RequestState& request = found->second;
         request.phase = RequestPhase::Waiting;
         if (item.decision.outcome == CreditDecision::Outcome::Granted)
-            request.creditAt = item.decision.grantedAt;
-        if (const auto reason = this->whyNotSent(request, now))
+            request.creditGrantedAt = item.decision.grantedAt;
+        if (const auto reason = this->reasonNotToSend(request, now))
             this->refuse(request, *reason, now, actions);
         else
-            this->takeCredit(request, item.decision, now, actions);
+            this->handleCreditDecision(request, item.decision, now, actions);
     }
 }
 
-void RequestFlow::begin(RequestState& request, Milliseconds now, Actions& actions)
+void RequestFlow::startSearch(RequestState& request, Milliseconds now, Actions& actions)
 {
-    request.wantsTarget = this->parts.rollouts->takeTurn(*request.service);
-    this->parts.limits->begun(*request.service, now, actions);
-    if (this->chooser.begin(request, now, actions))
-        request.phase = RequestPhase::Asking;
+    request.wantsTarget = this->parts.rollouts->selectTarget(*request.service);
+    this->parts.limits->requestStarted(*request.service, now, actions);
+    if (this->chooser.startSearch(request, now, actions))
+        request.phase = RequestPhase::Probing;
     else
         this->enqueue(request, now, actions);
 }
 
-void RequestFlow::judgeCaller(RequestState& request) const
+void RequestFlow::classifyCaller(RequestState& request) const
 {
     ServiceState& service = *request.service;
     service.lateAsFresh.arrived();
-    if (!request.timeLeft || !this->options.freshFirst)
+    if (!request.timeLeft || !this->options.inTimeFirst)
         return;
-    request.spent = service.spentBefore(*request.route, *request.timeLeft);
-    if (!isLateCaller(request.spent, service.expectedTime(*request.route), request.route->targetLatency))
+    request.spentBefore = service.spentBefore(*request.route, *request.timeLeft);
+    if (!isLateCaller(request.spentBefore, service.expectedTime(*request.route), request.route->targetLatency))
         return;
     this->parts.counters->add(DecisionCount::LateCallers);
     // A small share of late requests is queued as if in time, so that none starve during a long overload.
@@ -171,7 +173,7 @@
     request.service = this->parts.services->serviceFor(*route);
     request.arrivedAt = now;
     request.deadline = now + std::min(event.timeLeft.value_or(Never), route->timeout);
-    request.waitUntil = now + route->targetLatency * this->options.waitShare;
+    request.waitUntil = now + route->targetLatency * this->options.maxWaitShare;
     request.route = std::move(route);
     return request;
 }
@@ -183,7 +185,7 @@
     for (auto& [number, request] : this->requests) {
         if (!this->chooser.isEnough(request, server, now))
             continue;
-        if (request.phase == RequestPhase::Asking)
+        if (request.phase == RequestPhase::Probing)
             ready.push_back(number);
         else if (request.phase == RequestPhase::Waiting)
             waiting.push_back(request.service);
@@ -191,11 +193,11 @@
     std::sort(ready.begin(), ready.end());
     for (const RequestNumber number : ready) {
         const auto found = this->requests.find(number);
-        if (found != this->requests.end() && found->second.phase == RequestPhase::Asking)
+        if (found != this->requests.end() && found->second.phase == RequestPhase::Probing)
             this->enqueue(found->second, now, actions);
     }
     for (const auto& service : waiting)
-        this->pump(*service, now, actions);
+        this->dispatchQueue(*service, now, actions);
 }
 
 void RequestFlow::enqueue(RequestState& request, Milliseconds now, Actions& actions)
@@ -203,11 +205,11 @@
     request.phase = RequestPhase::Waiting;
     request.search.asked.clear();
     const std::shared_ptr<ServiceState> service = request.service;
-    service->queue.push(placeOf(request), request.number);
-    this->pump(*service, now, actions);
+    service->queue.push(queueRank(request), request.number);
+    this->dispatchQueue(*service, now, actions);
 }
 
-void RequestFlow::pump(ServiceState& service, Milliseconds now, Actions& actions)
+void RequestFlow::dispatchQueue(ServiceState& service, Milliseconds now, Actions& actions)
 {
     std::vector<RequestNumber> held;
     while (const auto number = service.queue.pop()) {
@@ -221,18 +223,18 @@
             continue;
         }
         // Keys, quotas and known crashes may have changed while the request was queued.
-        if (const auto reason = this->whyNotSent(request, now)) {
+        if (const auto reason = this->reasonNotToSend(request, now)) {
             this->refuse(request, *reason, now, actions);
             continue;
         }
-        Choice choice = this->chooser.chooseOrAsk(request, now, actions);
-        if (!choice.server && this->parts.limits->wanted(service, request.waitUntil - now, now, actions))
-            choice = this->chooser.chooseOrAsk(request, now, actions);
+        Choice choice = this->chooser.chooseOrProbe(request, now, actions);
+        if (!choice.server && this->parts.limits->requestQueued(service, request.waitUntil - now, now, actions))
+            choice = this->chooser.chooseOrProbe(request, now, actions);
         if (choice.server) {
             this->send(request, std::move(choice.server), now, actions);
             continue;
         }
-        if (const auto reason = refusedAtOnce(request, choice.reason, now)) {
+        if (const auto reason = immediateRefusal(request, choice.reason, now)) {
             this->refuse(request, *reason, now, actions);
             continue;
         }
@@ -243,7 +245,7 @@
             break;
     }
     for (auto number = held.rbegin(); number != held.rend(); ++number)
-        service.queue.pushFront(placeOf(this->requests.at(*number)), *number);
+        service.queue.pushFront(queueRank(this->requests.at(*number)), *number);
 }
 
 void RequestFlow::send(
@@ -258,7 +260,7 @@
     this->parts.crashes->sent(request, now);
     request.phase = RequestPhase::Sending;
     const bool isHedged = this->options.hedges && !request.hedged && mayHedge(*request.route, request.history);
-    request.hedgeAt = isHedged ? now + this->hedgePatience(request) : Never;
+    request.hedgeAt = isHedged ? now + this->hedgeDelay(request) : Never;
     actions.emplace_back(recordOfSent(request, *server,
         { .version = this->parts.services->version(), .confirmedAt = this->parts.store->confirmedAt() }, now));
     const bool isUnhindered = server->saidItIsWell(now);
@@ -297,16 +299,16 @@
     const Flight ended = *flight;
     request.flights.erase(flight);
     const std::shared_ptr<ServiceState> service = request.service;
-    this->learn(request, ended, event.end, now, actions);
+    this->recordResult(request, ended, event.end, now, actions);
     if (event.end.result == AttemptResult::Answered)
-        this->pass(request, ended, event.end, now, actions);
+        this->passAnswer(request, ended, event.end, now, actions);
     else
-        this->decideAfter(request, event, now, actions);
-    this->pump(*service, now, actions);
+        this->retryOrFinish(request, event, now, actions);
+    this->dispatchQueue(*service, now, actions);
     return ended.server;
 }
 
-void RequestFlow::learn(
+void RequestFlow::recordResult(
     RequestState& request, const Flight& flight, const AttemptEnd& end, Milliseconds now, Actions& actions) const
 {
     BackendServerState& server = *flight.server;
@@ -324,7 +326,7 @@
         return;
     }
     if (end.result == AttemptResult::Broken)
-        this->parts.crashes->broke(request, server, now, actions);
+        this->parts.crashes->connectionBroke(request, server, now, actions);
     actions.emplace_back(recordOfFailed(request, flight, end, now));
     if (!request.service->pool.checkOutlier(server, now))
         return;
@@ -335,37 +337,37 @@
                              .with("failure_share", server.failureShare(now)));
 }
 
-void RequestFlow::decideAfter(RequestState& request, const AttemptEnded& event, Milliseconds now, Actions& actions)
+void RequestFlow::retryOrFinish(RequestState& request, const AttemptEnded& event, Milliseconds now, Actions& actions)
 {
     // Another attempt may still succeed. It may also never be answered, so a new hedge is allowed.
     if (!request.flights.empty()) {
         request.hedged = false;
-        request.hedgeAt = this->options.hedges ? now + this->hedgePatience(request) : Never;
+        request.hedgeAt = this->options.hedges ? now + this->hedgeDelay(request) : Never;
         return;
     }
-    if (this->tryAgain(request, event.end, now, actions))
+    if (this->tryRetry(request, event.end, now, actions))
         return;
-    if (event.end.result != AttemptResult::ErrorAnswer || !mayBePassed(*request.route, event.end))
-        return this->refuse(request, reasonAfter(event.end.result), now, actions);
+    if (event.end.result != AttemptResult::ErrorAnswer || !mayPassErrorAnswer(*request.route, event.end))
+        return this->refuse(request, refusalAfterAttempt(event.end.result), now, actions);
     this->parts.counters->add(DecisionCount::Answered);
     actions.emplace_back(PassAnswer{ .request = request.number, .attempt = event.attempt });
     this->close(request, now, actions);
 }
 
-bool RequestFlow::tryAgain(RequestState& request, const AttemptEnd& end, Milliseconds now, Actions& actions)
+bool RequestFlow::tryRetry(RequestState& request, const AttemptEnd& end, Milliseconds now, Actions& actions)
 {
     if (now >= request.deadline || !mayTryAgain(*request.route, request.history, end.result))
         return false;
     // A retry could crash another server with a request that no server can answer, or the request may no longer be
     // sent, for example because its key was revoked.
-    if (this->parts.crashes->mayHaveProof(request) || this->whyNotSent(request, now)) {
+    if (this->parts.crashes->mayBeCrashing(request) || this->reasonNotToSend(request, now)) {
         this->parts.counters->add(DecisionCount::RetriesWithheld);
         actions.emplace_back(recordOfRequest(RecordTopic::Refusal, "retry_withheld", request));
         return false;
     }
-    Choice choice = this->chooser.chooseAgain(request, now);
-    request.waitUntil = std::max(request.waitUntil, now + request.route->targetLatency * this->options.waitShare);
-    if (choice.reason == NoChoice::NobodyTakes || (!choice.server && refusedAtOnce(request, choice.reason, now)))
+    Choice choice = this->chooser.chooseForRetry(request, now);
+    request.waitUntil = std::max(request.waitUntil, now + request.route->targetLatency * this->options.maxWaitShare);
+    if (choice.reason == NoChoice::NobodyTakes || (!choice.server && immediateRefusal(request, choice.reason, now)))
         return false;
     if (needsBudget(end.result) && !request.service->retryBudget.take(now)) {
         this->parts.counters->add(DecisionCount::RetriesDenied);
@@ -378,25 +380,25 @@
         return true;
     }
     request.phase = RequestPhase::Waiting;
-    request.service->queue.pushFront(placeOf(request), request.number);
+    request.service->queue.pushFront(queueRank(request), request.number);
     return true;
 }
 
-Milliseconds RequestFlow::hedgePatience(const RequestState& request) const
+Milliseconds RequestFlow::hedgeDelay(const RequestState& request) const
 {
-    const Milliseconds usual = request.service->expectedTime(*request.route) * this->options.hedgeAfter;
-    return std::min(usual, request.route->targetLatency * this->options.latestHedge);
+    const Milliseconds usual = request.service->expectedTime(*request.route) * this->options.hedgeDelayFactor;
+    return std::min(usual, request.route->targetLatency * this->options.maxHedgeDelayShare);
 }
 
 void RequestFlow::hedge(RequestState& request, Milliseconds now, Actions& actions)
 {
     request.hedgeAt = Never;
     if (!mayHedge(*request.route, request.history) || this->parts.crashes->isSuspect(request)
-        || this->judgeKey(request))
+        || this->checkKey(request))
         return;
     // If no server or retry budget is available now, check again later: the first attempt may never be answered, and
     // no other event would trigger a hedge.
-    request.hedgeAt = now + std::max(this->hedgePatience(request), ShortestHedgeInterval);
+    request.hedgeAt = now + std::max(this->hedgeDelay(request), MinHedgeInterval);
     Choice choice = this->chooser.chooseForHedge(request, now);
     if (!choice.server || !request.service->retryBudget.takeForHedge(now))
         return;
@@ -405,7 +407,7 @@
     this->send(request, std::move(choice.server), now, actions);
 }
 
-void RequestFlow::pass(
+void RequestFlow::passAnswer(
     RequestState& request, const Flight& flight, const AttemptEnd& end, Milliseconds now, Actions& actions)
 {
     this->parts.counters->add(DecisionCount::Answered);
@@ -428,7 +430,7 @@
     this->parts.counters->add(mayHaveRun ? DecisionCount::RefusedUnknown : DecisionCount::RefusedNotRun);
     const Milliseconds usual = reason == RefusalReason::CrashesBackendServers
         ? this->parts.crashes->refusedFor(request, now)
-        : comeBackOf(request, reason, this->parts.random->unit(), now);
+        : retryAfterFor(request, reason, this->parts.random->unit(), now);
     const Milliseconds comeBack = request.comeBackAfter.value_or(usual);
     const RefuseRequest refusal{
         .request = request.number, .outcome = outcome, .reason = reason, .comeBackAfter = comeBack
@@ -447,7 +449,7 @@
     }
     if (request.service && request.phase == RequestPhase::Waiting)
         request.service->queue.remove(request.number);
-    this->parts.quotas->ended(request, now);
+    this->parts.quotas->requestEnded(request, now);
     this->requests.erase(request.number);
 }
 
@@ -462,7 +464,7 @@
                              .with("took", (now - found->second.arrivedAt).count));
     const std::shared_ptr<ServiceState> service = found->second.service;
     this->close(found->second, now, actions);
-    this->pump(*service, now, actions);
+    this->dispatchQueue(*service, now, actions);
 }
 
 void RequestFlow::timedOut(RequestState& request, Milliseconds now, Actions& actions)
@@ -471,7 +473,7 @@
     const AttemptEnd late{ .result = AttemptResult::TimedOut };
     const std::vector<Flight> flights = request.flights;
     for (const Flight& flight : flights)
-        this->learn(request, flight, late, now, actions);
+        this->recordResult(request, flight, late, now, actions);
     this->refuse(request, RefusalReason::DeadlinePassedSending, now, actions);
 }
 
@@ -481,14 +483,14 @@
     switch (request.phase) {
     case RequestPhase::AwaitingCredit:
         return this->refuse(request, RefusalReason::DeadlinePassedWaiting, now, actions);
-    case RequestPhase::Asking:
+    case RequestPhase::Probing:
         this->enqueue(request, now, actions);
         return;
     case RequestPhase::Waiting:
         if (isLate)
             this->refuse(request, RefusalReason::DeadlinePassedWaiting, now, actions);
         else
-            this->refuse(request, whyNobodyTook(request), now, actions);
+            this->refuse(request, refusalAfterWaiting(request), now, actions);
         return;
     case RequestPhase::Sending:
         if (isLate)
@@ -502,7 +504,7 @@
 void RequestFlow::capacityChanged(Milliseconds now, Actions& actions)
 {
     for (const auto& service : this->parts.services->all())
-        this->pump(*service, now, actions);
+        this->dispatchQueue(*service, now, actions);
 }
 
 void RequestFlow::tick(Milliseconds now, Actions& actions)
@@ -532,7 +534,7 @@
         due = std::min(due, request.nextDue());
         anyWaits = anyWaits || request.phase == RequestPhase::Waiting;
     }
-    return anyWaits ? std::min(due, now + PumpInterval) : due;
+    return anyWaits ? std::min(due, now + QueueCheckInterval) : due;
 }
 
 }
--- a/Source/Node/RequestFlow.h
+++ b/Source/Node/RequestFlow.h
@@ -23,12 +23,13 @@
 /**
  * Carries each request from its arrival to its final answer.
  *
- * On arrival the request is matched to a route and refused if the caller's key
- * is not valid, no server may take it, or the queue of its service is full. It
- * then gets quota credit, probes a few backend servers for their load, waits in
- * the queue for a server with free capacity, and is sent. A failed attempt is
- * retried and a slow one is hedged, as far as the route and the retry budget
- * allow. The caller gets the first whole answer, or a refusal.
+ * On arrival a request is matched to a route. It is refused if the caller's key
+ * is not valid, the request is known to crash servers, the data centre is
+ * emptied, or the queue of its service is full. It then needs quota credit if
+ * its customer is limited. A few backend servers are probed for their load, and
+ * the request waits in the queue for a server with free capacity. A failed
+ * attempt is retried and a slow one is hedged, as far as the route and the
+ * retry budget allow. The caller gets the first complete answer, or a refusal.
  *
  * A run-once request is sent again only after proof that it did not run, and
  * the caller is told "not run" only with such proof. A request that cannot
@@ -40,11 +41,11 @@
         std::string dataCentre;
         bool probes = true;
         bool hedges = true;
-        bool freshFirst = true; // queue requests that can still meet their target ahead of late ones
+        bool inTimeFirst = true; // queue requests that can still meet their target ahead of late ones
         ServerSearch::Options search; // its dataCentre is filled in from the field above
-        double waitShare = 0.22; // fraction of the target latency that a request may wait for a free server
-        double hedgeAfter = 2.2; // multiple of the expected response time after which a hedge starts
-        double latestHedge = 0.5; // upper bound of the hedge delay, as a fraction of the target latency
+        double maxWaitShare = 0.22; // fraction of the target latency that a request may wait for a free server
+        double hedgeDelayFactor = 2.2; // multiple of the expected response time after which a hedge starts
+        double maxHedgeDelayShare = 0.5; // upper bound of the hedge delay, as a fraction of the target latency
     };
 
     /** Collaborators; all must outlive this object. */
@@ -83,27 +84,29 @@
     void refuseUnrouted(const RequestArrived& event, RefusalReason reason, Actions& actions) const;
     RequestState& open(const RequestArrived& event, std::shared_ptr<const Route> route, Milliseconds now);
     /** Checks the caller's key again if the routing configuration has changed since the last check. */
-    std::optional<RefusalReason> judgeKey(RequestState& request) const;
+    std::optional<RefusalReason> checkKey(RequestState& request) const;
     /** The reason why the request must not be sent now, independent of which servers are available. */
-    std::optional<RefusalReason> whyNotSent(RequestState& request, Milliseconds now) const;
-    void takeCredit(RequestState& request, const CreditDecision& decision, Milliseconds now, Actions& actions);
+    std::optional<RefusalReason> reasonNotToSend(RequestState& request, Milliseconds now) const;
+    void handleCreditDecision(
+        RequestState& request, const CreditDecision& decision, Milliseconds now, Actions& actions);
     /** Starts the search for a server, once quota credit has been granted. */
-    void begin(RequestState& request, Milliseconds now, Actions& actions);
-    void judgeCaller(RequestState& request) const;
+    void startSearch(RequestState& request, Milliseconds now, Actions& actions);
+    void classifyCaller(RequestState& request) const;
     /** The queue position; among requests of equal rank, late ones come last. */
-    static std::uint32_t placeOf(const RequestState& request);
+    static std::uint32_t queueRank(const RequestState& request);
     void enqueue(RequestState& request, Milliseconds now, Actions& actions);
-    void pump(ServiceState& service, Milliseconds now, Actions& actions);
+    void dispatchQueue(ServiceState& service, Milliseconds now, Actions& actions);
     void send(RequestState& request, std::shared_ptr<BackendServerState> server, Milliseconds now, Actions& actions);
 
-    void learn(
+    void recordResult(
         RequestState& request, const Flight& flight, const AttemptEnd& end, Milliseconds now, Actions& actions) const;
-    void decideAfter(RequestState& request, const AttemptEnded& event, Milliseconds now, Actions& actions);
-    bool tryAgain(RequestState& request, const AttemptEnd& end, Milliseconds now, Actions& actions);
+    void retryOrFinish(RequestState& request, const AttemptEnded& event, Milliseconds now, Actions& actions);
+    bool tryRetry(RequestState& request, const AttemptEnd& end, Milliseconds now, Actions& actions);
     /** The delay from sending, or from the last check, until the next check whether to start a hedge. */
-    Milliseconds hedgePatience(const RequestState& request) const;
+    Milliseconds hedgeDelay(const RequestState& request) const;
     void hedge(RequestState& request, Milliseconds now, Actions& actions);
-    void pass(RequestState& request, const Flight& flight, const AttemptEnd& end, Milliseconds now, Actions& actions);
+    void passAnswer(
+        RequestState& request, const Flight& flight, const AttemptEnd& end, Milliseconds now, Actions& actions);
     void refuse(RequestState& request, RefusalReason reason, Milliseconds now, Actions& actions);
     void timedOut(RequestState& request, Milliseconds now, Actions& actions);
     void close(RequestState& request, Milliseconds now, Actions& actions);
--- a/Source/Node/RequestRecords.cpp
+++ b/Source/Node/RequestRecords.cpp
@@ -79,7 +79,7 @@
         .with("attempts", std::uint64_t{ request.attempts })
         .with("took", (now - request.arrivedAt).count)
         .with("come_back_after", refusal.comeBackAfter.count)
-        .with("spent_before", request.spent.count)
+        .with("spent_before", request.spentBefore.count)
         .with("late", request.isLate ? "yes" : "no")
         .with("waiting", std::uint64_t{ request.service ? request.service->queue.size() : 0 })
         .with("version", version);
--- a/Source/Node/RequestState.h
+++ b/Source/Node/RequestState.h
@@ -17,13 +17,13 @@
 
 enum class RequestPhase {
     AwaitingCredit, // its customer has a quota, and the granting instance has been asked for credit
-    Asking, // waits for load reports of a few backend servers
+    Probing, // waits for load reports of a few backend servers
     Waiting, // waits in the queue for a backend server with free capacity
     Sending // one or more attempts are in flight
 };
 
 /** Interval at which waiting requests are retried: no event is raised when a server's pause after a refusal ends. */
-inline constexpr Milliseconds PumpInterval{ 10 };
+inline constexpr Milliseconds QueueCheckInterval{ 10 };
 
 /** An attempt in flight. */
 struct Flight {
@@ -55,9 +55,9 @@
     bool hedged = false;
     bool wantsTarget = false; // selected for the new version of a roll-out
     std::optional<Milliseconds> timeLeft; // until the caller's deadline, as sent with the request
-    std::optional<Milliseconds> creditAt; // when quota credit was granted; empty if none is needed
+    std::optional<Milliseconds> creditGrantedAt; // when quota credit was granted; empty if none is needed
     std::optional<Milliseconds> comeBackAfter; // retry-after time, overrides the default of the refusal reason
-    Milliseconds spent; // by its caller on earlier attempts, estimated from timeLeft
+    Milliseconds spentBefore; // by its caller on earlier attempts, estimated from timeLeft
     bool isLate = false; // unlikely to be answered within its target latency
     std::vector<Flight> flights;
     std::vector<std::shared_ptr<BackendServerState>> tried;
@@ -68,7 +68,7 @@
         switch (this->phase) {
         case RequestPhase::AwaitingCredit:
             return this->deadline;
-        case RequestPhase::Asking:
+        case RequestPhase::Probing:
             return std::min(this->search.askUntil, this->deadline);
         case RequestPhase::Waiting:
             return std::min(this->waitUntil, this->deadline);
--- a/Source/Node/RolloutDesk.cpp
+++ b/Source/Node/RolloutDesk.cpp
@@ -12,13 +12,13 @@
 /** An answer that takes longer than the expected time multiplied by this is bad. */
 constexpr double SlowFactor = 4;
 
-bool isJudged(const AttemptEnd& end)
+bool countsAsEvidence(const AttemptEnd& end)
 {
     return end.result != AttemptResult::Cancelled && !isProvedNotRun(end.result);
 }
 
 /** False for a server that was cold or full: it may be slow whatever its version. */
-bool isOwnFault(const Flight& flight, Milliseconds now)
+bool isVersionFault(const Flight& flight, Milliseconds now)
 {
     return flight.hadRoom && !flight.server->isCold(now);
 }
@@ -28,7 +28,7 @@
     if (end.result != AttemptResult::Answered)
         return true;
     const Milliseconds longest = request.service->expectedTime(*request.route) * SlowFactor;
-    return now - flight.sentAt > longest && isOwnFault(flight, now);
+    return now - flight.sentAt > longest && isVersionFault(flight, now);
 }
 
 }
@@ -48,7 +48,7 @@
 void RolloutDesk::ordered(const Facts& facts, Milliseconds now, Actions& actions)
 {
     for (const RolloutOrder& order : facts.rollouts)
-        this->order(order, now, actions);
+        this->applyOrder(order, now, actions);
     if (!facts.areAllRollouts)
         return;
     for (auto& item : this->rollouts) {
@@ -60,7 +60,7 @@
     this->apply();
 }
 
-void RolloutDesk::order(const RolloutOrder& order, Milliseconds now, Actions& actions)
+void RolloutDesk::applyOrder(const RolloutOrder& order, Milliseconds now, Actions& actions)
 {
     Rollout& rollout = this->rollouts[order.service];
     if (order.number < rollout.order.number || order == rollout.order)
@@ -69,7 +69,7 @@
         rollout.orderedAt = now;
         rollout.own.clear();
         rollout.fleet = {};
-        rollout.told.clear();
+        rollout.lastReports.clear();
     }
     rollout.order = order;
     actions.emplace_back(beliefOf(order.isWithdrawn ? "rollout_withdrawn" : "rollout_ordered", order.service)
@@ -87,7 +87,7 @@
     rollout.stateRevision = item.revision;
     rollout.stateSince = now;
     this->apply();
-    this->tellSoon(now);
+    this->scheduleReport(now);
     if (!rollout.state)
         return;
     actions.emplace_back(
@@ -108,9 +108,9 @@
     if (rollout.hasState()) {
         rule.target = rollout.state->targetVersion;
         rule.share = rollout.state->share;
-        const bool isAllThere = rollout.state->phase == RolloutPhase::Moved
+        const bool isFullyMoved = rollout.state->phase == RolloutPhase::Moved
             || (rollout.state->phase == RolloutPhase::Completed && rollout.isOrdered());
-        if (isAllThere)
+        if (isFullyMoved)
             rule.use = VersionRule::Use::Target;
         else if (rollout.state->phase == RolloutPhase::RolledBack)
             rule.use = VersionRule::Use::Usual;
@@ -141,7 +141,7 @@
     }
 }
 
-bool RolloutDesk::takeTurn(ServiceState& service) const
+bool RolloutDesk::selectTarget(ServiceState& service) const
 {
     const VersionRule& rule = service.pool.versionRule();
     if (rule.use != VersionRule::Use::Shared)
@@ -155,14 +155,14 @@
 
 void RolloutDesk::answered(const RequestState& request, const Flight& flight, const AttemptEnd& end, Milliseconds now)
 {
-    if (isJudged(end))
+    if (countsAsEvidence(end))
         this->count(request, flight, isBad(request, flight, end, now), now);
 }
 
 void RolloutDesk::overtaken(const RequestState& request, const Flight& flight, Milliseconds now)
 {
     // Otherwise hedging would hide a slow version.
-    if (isOwnFault(flight, now))
+    if (isVersionFault(flight, now))
         this->count(request, flight, true, now);
 }
 
@@ -180,15 +180,15 @@
         return;
     ++version.bad;
     if (isTarget)
-        this->tellSoon(now);
+        this->scheduleReport(now);
 }
 
-void RolloutDesk::tellSoon(Milliseconds now)
+void RolloutDesk::scheduleReport(Milliseconds now)
 {
-    this->tellAt = std::min(this->tellAt, now + this->options.tellInterval);
+    this->reportAt = std::min(this->reportAt, now + this->options.reportDelay);
 }
 
-std::uint32_t RolloutDesk::underWayAtUsual(const Rollout& rollout, const std::string& service) const
+std::uint32_t RolloutDesk::inFlightAtOldVersion(const Rollout& rollout, const std::string& service) const
 {
     const auto found = this->parts.services->byName(service);
     if (!found)
@@ -208,15 +208,15 @@
         peers::RolloutEvidence& message = *messages.Add();
         message.set_service(service);
         message.set_order(rollout.order.number);
-        message.set_under_way(this->underWayAtUsual(rollout, service));
+        message.set_under_way(this->inFlightAtOldVersion(rollout, service));
         message.set_state_revision(rollout.stateRevision);
         for (const auto& [route, counts] : rollout.own) {
-            peers::RouteEvidence& one = *message.add_routes();
-            one.set_route(route);
-            one.set_usual_answers(counts.usual.all);
-            one.set_usual_bad(counts.usual.bad);
-            one.set_target_answers(counts.target.all);
-            one.set_target_bad(counts.target.bad);
+            peers::RouteEvidence& evidence = *message.add_routes();
+            evidence.set_route(route);
+            evidence.set_usual_answers(counts.usual.all);
+            evidence.set_usual_bad(counts.usual.bad);
+            evidence.set_target_answers(counts.target.all);
+            evidence.set_target_bad(counts.target.bad);
         }
     }
 }
@@ -228,12 +228,12 @@
         if (found == this->rollouts.end() || found->second.order.number != message.order())
             continue;
         CountsByRoute counts;
-        for (const peers::RouteEvidence& one : message.routes())
-            counts[one.route()] = { .usual = { .all = one.usual_answers(), .bad = one.usual_bad() },
-                .target = { .all = one.target_answers(), .bad = one.target_bad() } };
+        for (const peers::RouteEvidence& evidence : message.routes())
+            counts[evidence.route()] = { .usual = { .all = evidence.usual_answers(), .bad = evidence.usual_bad() },
+                .target = { .all = evidence.target_answers(), .bad = evidence.target_bad() } };
         found->second.fleet.told(from.name(), from.number(), counts);
-        found->second.told[from.name()]
-            = { .at = now, .stateRevision = message.state_revision(), .underWay = message.under_way() };
+        found->second.lastReports[from.name()]
+            = { .at = now, .stateRevision = message.state_revision(), .inFlight = message.under_way() };
     }
 }
 
@@ -266,7 +266,7 @@
     return answer;
 }
 
-double RolloutDesk::capacityOf(const Rollout& rollout, const std::string& service) const
+double RolloutDesk::targetCapacityOf(const Rollout& rollout, const std::string& service) const
 {
     const auto found = this->parts.services->byName(service);
     if (!found)
@@ -282,15 +282,15 @@
 
 bool RolloutDesk::isOldIdle(const Rollout& rollout, const std::string& service, Milliseconds now) const
 {
-    if (this->underWayAtUsual(rollout, service))
+    if (this->inFlightAtOldVersion(rollout, service))
         return false;
     const auto& members = this->parts.news->knownInstances();
     return std::all_of(members.begin(), members.end(), [&](const KnownMember& known) {
-        if (now - known.heardAt > this->options.heardWithin)
+        if (now - known.heardAt > this->options.silentAfter)
             return true;
-        const auto told = rollout.told.find(known.member.incarnation().name());
-        return told != rollout.told.end() && told->second.stateRevision >= rollout.stateRevision
-            && !told->second.underWay;
+        const auto report = rollout.lastReports.find(known.member.incarnation().name());
+        return report != rollout.lastReports.end() && report->second.stateRevision >= rollout.stateRevision
+            && !report->second.inFlight;
     });
 }
 
@@ -305,7 +305,7 @@
     request.expected = stored && !stored->removed ? stored->revision : 0;
     request.timeout = this->options.answerTimeout;
     this->pending = request.number;
-    this->writing = { .key = std::move(key), .value = std::move(value) };
+    this->pendingItem = { .key = std::move(key), .value = std::move(value) };
     return request;
 }
 
@@ -330,16 +330,16 @@
             .isBad = rollout.fleet.isBad(),
             .targetAnswers = total.target.all,
             .allAnswers = total.target.all + total.usual.all,
-            .capacity = this->capacityOf(rollout, service),
+            .capacity = this->targetCapacityOf(rollout, service),
             .isOldIdle = this->isOldIdle(rollout, service, now) });
     return next ? std::optional(this->write(key, writeRolloutState(*next))) : std::nullopt;
 }
 
 std::optional<StoreRequest> RolloutDesk::nextCall(Milliseconds now)
 {
-    if (this->pending || now < this->lookAt)
+    if (this->pending || now < this->nextEvaluationAt)
         return std::nullopt;
-    this->lookAt = now + this->options.interval;
+    this->nextEvaluationAt = now + this->options.evaluationInterval;
     if (!this->parts.news->leads(now))
         return std::nullopt;
     for (auto& [service, rollout] : this->rollouts) {
@@ -359,24 +359,24 @@
     if (answer.status != StoreStatus::Done) {
         // Before the next try, the watch delivers the current item: after a conflict another instance's, after a lost
         // answer possibly the one written here.
-        this->lookAt = now + this->backoff.next(*this->parts.random);
+        this->nextEvaluationAt = now + this->backoff.next(*this->parts.random);
         return true;
     }
     this->backoff.reset();
-    this->lookAt = now;
-    this->writing.revision = answer.at;
-    this->written = std::move(this->writing);
+    this->nextEvaluationAt = now;
+    this->pendingItem.revision = answer.at;
+    this->written = std::move(this->pendingItem);
     return true;
 }
 
 Milliseconds RolloutDesk::nextDue() const
 {
-    const bool anyRuns = std::any_of(this->rollouts.begin(), this->rollouts.end(), [](const auto& item) {
+    const bool anyRunning = std::any_of(this->rollouts.begin(), this->rollouts.end(), [](const auto& item) {
         const Rollout& rollout = item.second;
         return rollout.isOrdered() && !(rollout.hasState() && rollout.state->isOver());
     });
-    const bool mayWrite = anyRuns && this->parts.store->isWatching() && !this->pending;
-    return std::min(this->tellAt, mayWrite ? this->lookAt : Never);
+    const bool mayWrite = anyRunning && this->parts.store->isWatching() && !this->pending;
+    return std::min(this->reportAt, mayWrite ? this->nextEvaluationAt : Never);
 }
 
 }
--- a/Source/Node/RolloutDesk.h
+++ b/Source/Node/RolloutDesk.h
@@ -35,9 +35,9 @@
 
     struct Options {
         peers::Incarnation self;
-        Milliseconds interval{ 100 }; // between two evaluations by the leading watcher
-        Milliseconds tellInterval{ 100 }; // longest delay of an urgent report to other instances
-        Milliseconds heardWithin{ 4000 }; // instances silent for longer are taken to send no requests any more
+        Milliseconds evaluationInterval{ 100 }; // between two evaluations by the leading watcher
+        Milliseconds reportDelay{ 100 }; // longest delay of an urgent report to other instances
+        Milliseconds silentAfter{ 4000 }; // instances silent for longer are taken to send no requests any more
         Milliseconds answerTimeout{ 1500 };
     };
 
@@ -61,7 +61,7 @@
     void apply();
 
     /** True when the next request of the service should go to the new version. */
-    bool takeTurn(ServiceState& service) const;
+    bool selectTarget(ServiceState& service) const;
     /** Counts the result of an attempt. */
     void answered(const RequestState& request, const Flight& flight, const AttemptEnd& end, Milliseconds now);
     /** Counts an attempt as bad because its hedge answered first. */
@@ -70,8 +70,8 @@
     void fill(Messages& messages) const;
     void receive(const peers::Incarnation& from, const Messages& messages, Milliseconds now);
     /** When to send this instance's counts to others; Never when none are urgent. */
-    Milliseconds nextTelling() const { return this->tellAt; }
-    void told() { this->tellAt = Never; }
+    Milliseconds nextTelling() const { return this->reportAt; }
+    void told() { this->reportAt = Never; }
 
     v1::ShowRolloutAnswer show(const std::string& service, Milliseconds now) const;
     std::optional<StoreRequest> nextCall(Milliseconds now);
@@ -82,10 +82,10 @@
 
 private:
     /** The last report of an instance. */
-    struct Told {
+    struct Report {
         Milliseconds at = LongAgo;
         StoreRevision stateRevision = 0;
-        std::uint32_t underWay = 0; // attempts in flight at servers of the old version
+        std::uint32_t inFlight = 0; // attempts in flight at servers of the old version
     };
 
     struct Rollout {
@@ -96,7 +96,7 @@
         Milliseconds stateSince;
         CountsByRoute own;
         FleetEvidence fleet;
-        std::map<std::string, Told> told; // by instance
+        std::map<std::string, Report> lastReports; // by instance
 
         bool isOrdered() const { return this->order.number && !this->order.isWithdrawn; }
         /** True when the stored state belongs to the current order. */
@@ -105,24 +105,24 @@
     };
 
     void count(const RequestState& request, const Flight& flight, bool isBadAnswer, Milliseconds now);
-    void order(const RolloutOrder& order, Milliseconds now, Actions& actions);
+    void applyOrder(const RolloutOrder& order, Milliseconds now, Actions& actions);
     VersionRule ruleOf(const Rollout& rollout, const ServiceState& service) const;
-    std::uint32_t underWayAtUsual(const Rollout& rollout, const std::string& service) const;
+    std::uint32_t inFlightAtOldVersion(const Rollout& rollout, const std::string& service) const;
     /** Slots of the new version's servers that take requests, relative to those of all other servers. */
-    double capacityOf(const Rollout& rollout, const std::string& service) const;
+    double targetCapacityOf(const Rollout& rollout, const std::string& service) const;
     bool isOldIdle(const Rollout& rollout, const std::string& service, Milliseconds now) const;
     std::optional<StoreRequest> nextCallFor(const std::string& service, Rollout& rollout, Milliseconds now);
     StoreRequest write(std::string key, std::string value);
-    void tellSoon(Milliseconds now);
+    void scheduleReport(Milliseconds now);
 
     Options options;
     Parts parts;
     Backoff backoff;
     std::map<std::string, Rollout> rollouts; // by service
-    Milliseconds tellAt = Never;
-    Milliseconds lookAt = LongAgo;
+    Milliseconds reportAt = Never;
+    Milliseconds nextEvaluationAt = LongAgo;
     StoreCallNumber pending = 0;
-    StoreItem writing;
+    StoreItem pendingItem;
     std::optional<StoreItem> written;
 };
 
--- a/Source/Node/ServerChooser.cpp
+++ b/Source/Node/ServerChooser.cpp
@@ -18,14 +18,14 @@
  * and 0.42 during a load spike, 0.35 and 0.20 at 1.5 times the servers'
  * capacity.
  */
-constexpr double LimitOfLate = 0.6;
+constexpr double LateLimitShare = 0.6;
 /**
  * A hedge is sent only to a server that uses at most this fraction of its
  * concurrency limit; on busy servers it would displace first attempts. Fraction
  * of requests answered within their target, with and without this rule: 0.59
  * and 0.56 during a load spike, 0.70 and 0.69 with four of ten servers down.
  */
-constexpr double LimitOfHedge = 0.6;
+constexpr double HedgeLimitShare = 0.6;
 
 }
 
@@ -51,16 +51,16 @@
     return { .tried = request.tried,
         .mayTry = request.route->repeat == Repeat::MayRepeat,
         .longestWork = this->search.longestWork(request.search, now),
-        .limitShare = request.isLate ? LimitOfLate : 1 };
+        .limitShare = request.isLate ? LateLimitShare : 1 };
 }
 
-bool ServerChooser::begin(RequestState& request, Milliseconds now, Actions& actions) const
+bool ServerChooser::startSearch(RequestState& request, Milliseconds now, Actions& actions) const
 {
     request.search = this->search.begin({ .target = request.route->targetLatency,
-                                            .spent = request.spent,
+                                            .spent = request.spentBefore,
                                             .usualTime = request.service->usualTime(*request.route) },
         now);
-    return this->options.probes && this->askForFigures(request, now, actions);
+    return this->options.probes && this->probeServers(request, now, actions);
 }
 
 bool ServerChooser::isEnough(RequestState& request, const BackendServerState& server, Milliseconds now) const
@@ -68,18 +68,18 @@
     return this->search.isEnough(request.search, server, now);
 }
 
-bool ServerChooser::askForFigures(RequestState& request, Milliseconds now, Actions& actions) const
+bool ServerChooser::probeServers(RequestState& request, Milliseconds now, Actions& actions) const
 {
-    std::vector<Probe> questions;
+    std::vector<Probe> probes;
     const ServiceState& service = *request.service;
     const bool isAsking
-        = this->search.ask(request.search, service.description, service.pool, this->contextOf(request, now), questions);
-    for (Probe& question : questions)
-        actions.emplace_back(SendProbe{ .probe = std::move(question) });
+        = this->search.ask(request.search, service.description, service.pool, this->contextOf(request, now), probes);
+    for (Probe& probe : probes)
+        actions.emplace_back(SendProbe{ .probe = std::move(probe) });
     return isAsking;
 }
 
-Choice ServerChooser::chooseOrAsk(RequestState& request, Milliseconds now, Actions& actions) const
+Choice ServerChooser::chooseOrProbe(RequestState& request, Milliseconds now, Actions& actions) const
 {
     const RoutingContext context = this->contextOf(request, now);
     ServicePool& pool = request.service->pool;
@@ -87,24 +87,24 @@
     wish.onlyHeard = this->options.probes && this->search.mayAsk(request.search, now);
     Choice choice = pool.choose(wish, context, *this->parts.random);
     const bool mayFindBetter = choice.reason == NoChoice::Slow || choice.reason == NoChoice::Unheard;
-    if (choice.server || !mayFindBetter || this->holdBack(request, now, actions) || !wish.onlyHeard)
+    if (choice.server || !mayFindBetter || this->waitForBetterServer(request, now, actions) || !wish.onlyHeard)
         return choice;
     wish.onlyHeard = false;
     return pool.choose(wish, context, *this->parts.random);
 }
 
-bool ServerChooser::holdBack(RequestState& request, Milliseconds now, Actions& actions) const
+bool ServerChooser::waitForBetterServer(RequestState& request, Milliseconds now, Actions& actions) const
 {
     // When the hold ends the request is sent to any available server, so it must not be refused before that.
-    request.waitUntil = std::max(request.waitUntil, request.search.holdUntil + PumpInterval * 2);
+    request.waitUntil = std::max(request.waitUntil, request.search.holdUntil + QueueCheckInterval * 2);
     const bool isAsking = !request.search.asked.empty() && now < request.search.askUntil;
     if (isAsking || !this->options.probes)
         return isAsking;
     request.search.asked.clear();
-    return this->askForFigures(request, now, actions);
+    return this->probeServers(request, now, actions);
 }
 
-Choice ServerChooser::chooseAgain(const RequestState& request, Milliseconds now) const
+Choice ServerChooser::chooseForRetry(const RequestState& request, Milliseconds now) const
 {
     return request.service->pool.choose(this->wishOf(request, now), this->contextOf(request, now), *this->parts.random);
 }
@@ -115,7 +115,7 @@
                                             .onlyUntried = true,
                                             .mayTry = false,
                                             .longestWork = ServerSearch::longestWorkInTime(request.search, now),
-                                            .limitShare = LimitOfHedge },
+                                            .limitShare = HedgeLimitShare },
         this->contextOf(request, now), *this->parts.random);
 }
 
--- a/Source/Node/ServerChooser.h
+++ b/Source/Node/ServerChooser.h
@@ -30,22 +30,22 @@
     ServerChooser(Options options, Parts parts);
 
     /** Starts the search for a new request; true when load reports are awaited. */
-    bool begin(RequestState& request, Milliseconds now, Actions& actions) const;
+    bool startSearch(RequestState& request, Milliseconds now, Actions& actions) const;
     /** True when the request need not wait for further load reports after this server's report or failed probe. */
     bool isEnough(RequestState& request, const BackendServerState& server, Milliseconds now) const;
     /** For a queued request. If no suitable server is known, probes further servers where that may help. */
-    Choice chooseOrAsk(RequestState& request, Milliseconds now, Actions& actions) const;
+    Choice chooseOrProbe(RequestState& request, Milliseconds now, Actions& actions) const;
     /** For a retry, from the load reports at hand, without probing. */
-    Choice chooseAgain(const RequestState& request, Milliseconds now) const;
+    Choice chooseForRetry(const RequestState& request, Milliseconds now) const;
     /** For a second attempt while the first is still in flight. */
     Choice chooseForHedge(const RequestState& request, Milliseconds now) const;
 
 private:
     RoutingContext contextOf(const RequestState& request, Milliseconds now) const;
     ChoiceWish wishOf(const RequestState& request, Milliseconds now) const;
-    bool askForFigures(RequestState& request, Milliseconds now, Actions& actions) const;
+    bool probeServers(RequestState& request, Milliseconds now, Actions& actions) const;
     /** Keeps the request waiting for a better server; true while probe answers are awaited. */
-    bool holdBack(RequestState& request, Milliseconds now, Actions& actions) const;
+    bool waitForBetterServer(RequestState& request, Milliseconds now, Actions& actions) const;
 
     Options options;
     Parts parts;
--- a/Source/Node/ServerLimits.cpp
+++ b/Source/Node/ServerLimits.cpp
@@ -13,15 +13,15 @@
 namespace {
 
 /** Statements in one message, the latest first: about 4 KB. */
-constexpr std::size_t MostTold = 100;
+constexpr std::size_t MaxStatementsPerMessage = 100;
 /** Upper bound of durations sent to other instances, in milliseconds. */
-constexpr double LongestTold = 60000;
+constexpr double MaxDurationMilliseconds = 60000;
 /** Requests per second. Limits are capped at this, so that intervals between permits stay finite and above zero. */
-constexpr double HighestLimit = 1e6;
+constexpr double MaxRequestsPerSecond = 1e6;
 
-std::uint32_t wholeMilliseconds(Milliseconds span)
+std::uint32_t wholeMilliseconds(Milliseconds duration)
 {
-    return static_cast<std::uint32_t>(std::clamp(span.count, 0.0, LongestTold));
+    return static_cast<std::uint32_t>(std::clamp(duration.count, 0.0, MaxDurationMilliseconds));
 }
 
 }
@@ -42,10 +42,10 @@
 {
     if (!event.notice.limit)
         return;
-    const double perSecond = std::min(*event.notice.limit, HighestLimit);
+    const double perSecond = std::min(*event.notice.limit, MaxRequestsPerSecond);
     const LimitChange change = this->parts.book->heard(event.backendServer, event.life, perSecond, event.sentAt, now);
     this->apply(event.backendServer, event.life);
-    this->note(event.backendServer, change, Way::Answer, now, actions);
+    this->handleChange(event.backendServer, change, Origin::Answer, now, actions);
 }
 
 void ServerLimits::answered(BackendServerState& server, Milliseconds sentAt, Milliseconds now, Actions& actions)
@@ -55,7 +55,7 @@
     if (change == LimitChange::None)
         return;
     this->apply(server.id(), life);
-    this->note(server.id(), change, Way::Answer, now, actions);
+    this->handleChange(server.id(), change, Origin::Answer, now, actions);
 }
 
 void ServerLimits::apply(const std::string& backendServer, std::uint64_t life)
@@ -70,27 +70,27 @@
         server->permits().lift();
 }
 
-void ServerLimits::tellLater(const std::string& backendServer, Milliseconds now)
+void ServerLimits::scheduleReport(const std::string& backendServer, Milliseconds now)
 {
-    if (this->untold.empty())
-        this->tellAt = now + this->options.longestTellDelay * this->parts.random->unit();
-    this->untold.insert(backendServer);
+    if (this->unreported.empty())
+        this->reportAt = now + this->options.maxReportDelay * this->parts.random->unit();
+    this->unreported.insert(backendServer);
 }
 
-void ServerLimits::note(
-    const std::string& backendServer, LimitChange change, Way way, Milliseconds now, Actions& actions)
+void ServerLimits::handleChange(
+    const std::string& backendServer, LimitChange change, Origin origin, Milliseconds now, Actions& actions)
 {
-    if (way == Way::News)
-        this->untold.erase(backendServer);
+    if (origin == Origin::Gossip)
+        this->unreported.erase(backendServer);
     const LimitStatement* statement = this->parts.book->find(backendServer);
     if (change == LimitChange::None || change == LimitChange::Adjusted || !statement)
         return;
     this->changed = true;
     // A report from one peer is forwarded only by instances that watch the store; their updates go to all instances.
-    if (way == Way::Answer || (way == Way::Peer && this->parts.news->isWatching()))
-        this->tellLater(backendServer, now);
+    if (origin == Origin::Answer || (origin == Origin::Peer && this->parts.news->isWatching()))
+        this->scheduleReport(backendServer, now);
     DecisionRecord record = beliefOf(statement->perSecond ? "limit_named" : "limit_ended", backendServer)
-                                .with("heard_from", way == Way::Answer ? "server" : "news");
+                                .with("heard_from", origin == Origin::Answer ? "server" : "news");
     if (statement->perSecond) {
         record.with("per_second", *statement->perSecond);
         this->parts.counters->add(DecisionCount::LimitsNamed);
@@ -100,7 +100,7 @@
     actions.emplace_back(std::move(record));
 }
 
-std::vector<BackendServerState*> ServerLimits::askable(
+std::vector<BackendServerState*> ServerLimits::serversToAsk(
     const ServiceState& service, bool onlyOld, Milliseconds now) const
 {
     std::vector<BackendServerState*> found;
@@ -113,7 +113,7 @@
     return found;
 }
 
-bool ServerLimits::wanted(const ServiceState& service, Milliseconds patience, Milliseconds now, Actions& actions)
+bool ServerLimits::requestQueued(const ServiceState& service, Milliseconds patience, Milliseconds now, Actions& actions)
 {
     if (this->parts.book->all().empty())
         return false;
@@ -123,17 +123,17 @@
         all.begin(), all.end(), [now](const auto& server) { return server->permits().isExpected(now); });
     if (static_cast<std::size_t>(expected) > service.queue.size())
         return false;
-    const auto servers = this->askable(service, false, now);
+    const auto servers = this->serversToAsk(service, false, now);
     return !servers.empty()
         && this->ask(
             *servers[this->parts.random->below(servers.size())], std::max(patience, Milliseconds{}), now, actions);
 }
 
-void ServerLimits::begun(const ServiceState& service, Milliseconds now, Actions& actions)
+void ServerLimits::requestStarted(const ServiceState& service, Milliseconds now, Actions& actions)
 {
     if (this->parts.book->all().empty())
         return;
-    const auto servers = this->askable(service, true, now);
+    const auto servers = this->serversToAsk(service, true, now);
     if (!servers.empty())
         this->ask(*servers[this->parts.random->below(servers.size())], {}, now, actions);
 }
@@ -143,29 +143,29 @@
     const LimitStatement* statement = this->parts.book->find(server.id(), server.record().life);
     if (!statement || !statement->perSecond)
         return false;
-    const bool wasSilent = server.permits().isUnanswered(now);
+    const bool hadTimedOut = server.permits().isUnanswered(now);
     server.permits().answered();
     const auto granting = this->parts.news->firstOtherWatcher(now);
     if (this->mayGrant(now)) {
-        this->settle(server,
+        this->applyGrant(server,
             this->grant({ .backendServer = server.id(),
                             .life = statement->life,
                             .perSecond = *statement->perSecond,
                             .patience = patience },
                 now),
             now);
-    } else if (granting && !wasSilent)
-        this->askGranting(*granting, server, *statement, patience, now, actions);
+    } else if (granting && !hadTimedOut)
+        this->askGrantingInstance(*granting, server, *statement, patience, now, actions);
     else
-        this->deal(server, now);
+        this->takeSharedPermit(server, now);
     return server.permits().allows(now);
 }
 
-void ServerLimits::askGranting(const peers::Member& granting, BackendServerState& server,
+void ServerLimits::askGrantingInstance(const peers::Member& granting, BackendServerState& server,
     const LimitStatement& statement, Milliseconds patience, Milliseconds now, Actions& actions)
 {
     this->parts.counters->add(DecisionCount::PermitsAsked);
-    server.permits().asked(++this->lastAsk, now + this->options.answerPatience);
+    server.permits().asked(++this->lastAsk, now + this->options.askTimeout);
     peers::PeerMessage message;
     peers::PermitAsk& ask = *message.mutable_permit_ask();
     ask.set_number(this->lastAsk);
@@ -175,7 +175,7 @@
     actions.emplace_back(addressedTo(addressOf(granting), this->options.self.incarnation(), std::move(message)));
 }
 
-void ServerLimits::deal(BackendServerState& server, Milliseconds now)
+void ServerLimits::takeSharedPermit(BackendServerState& server, Milliseconds now)
 {
     this->parts.counters->add(DecisionCount::PermitsUnanswered);
     const auto limit = this->parts.book->limitOf(server.id(), server.record().life);
@@ -186,7 +186,7 @@
         if (this->dealt.take(server.id(), part, *this->parts.random, now))
             return server.permits().give({ .from = now, .until = now + PermitLife });
     }
-    server.permits().denied(now + this->options.silentPause);
+    server.permits().denied(now + this->options.pauseAfterTimeout);
 }
 
 PermitSchedule::Grant ServerLimits::grant(const PermitSchedule::Wish& wish, Milliseconds now)
@@ -195,7 +195,7 @@
     const auto known = static_cast<double>(this->parts.news->knownInstances().size() + 1);
     const double share = this->instances
         ? std::min(1.0, known / static_cast<double>(std::max<std::size_t>(*this->instances, 1)))
-        : this->options.shareOfUnknown;
+        : this->options.unknownFleetShare;
     PermitSchedule::Wish granted = wish;
     granted.perSecond = wish.perSecond * share;
     const PermitSchedule::Grant grant = this->schedule.grant(granted, now);
@@ -204,7 +204,7 @@
     return grant;
 }
 
-void ServerLimits::settle(BackendServerState& server, const PermitSchedule::Grant& grant, Milliseconds now) const
+void ServerLimits::applyGrant(BackendServerState& server, const PermitSchedule::Grant& grant, Milliseconds now) const
 {
     const Milliseconds from = now + grant.wait;
     if (grant.isGranted)
@@ -213,12 +213,12 @@
     server.permits().denied(now + grant.wait * (1 + this->parts.random->unit()));
 }
 
-void ServerLimits::asked(const peers::PermitAsk& ask, Milliseconds now, Actions& actions)
+void ServerLimits::handleAsk(const peers::PermitAsk& ask, Milliseconds now, Actions& actions)
 {
     const auto address = unpackNetworkAddress(ask.reply_to());
     if (!address)
         return this->parts.counters->add(DecisionCount::PeerMessagesRefused);
-    this->take(ask.limit(), Way::Peer, now, actions);
+    this->mergeStatement(ask.limit(), Origin::Peer, now, actions);
     peers::PeerMessage message;
     peers::PermitAnswer& answer = *message.mutable_permit_answer();
     answer.set_number(ask.number());
@@ -246,14 +246,14 @@
     if (!server || !server->permits().isAwaited(answer.number()))
         return;
     server->permits().answered();
-    this->take(answer.limit(), Way::Peer, now, actions);
+    this->mergeStatement(answer.limit(), Origin::Peer, now, actions);
     this->changed = true;
     if (!server->permits().isLimited())
         return;
     if (answer.not_granting())
-        return this->deal(*server, now);
+        return this->takeSharedPermit(*server, now);
     const Milliseconds wait{ static_cast<double>(answer.wait_milliseconds()) };
-    this->settle(*server, { .isGranted = answer.is_granted(), .wait = wait }, now);
+    this->applyGrant(*server, { .isGranted = answer.is_granted(), .wait = wait }, now);
 }
 
 void ServerLimits::receive(const peers::PeerMessage& message, Milliseconds now, Actions& actions)
@@ -261,7 +261,7 @@
     if (message.version() != PeerProtocolVersion)
         return this->parts.counters->add(DecisionCount::PeerMessagesRefused);
     if (message.has_permit_ask())
-        this->asked(message.permit_ask(), now, actions);
+        this->handleAsk(message.permit_ask(), now, actions);
     else
         this->answered(message.permit_answer(), now, actions);
 }
@@ -278,7 +278,7 @@
     return message;
 }
 
-void ServerLimits::take(const peers::NamedLimit& message, Way way, Milliseconds now, Actions& actions)
+void ServerLimits::mergeStatement(const peers::NamedLimit& message, Origin origin, Milliseconds now, Actions& actions)
 {
     const bool isReadable = std::isfinite(message.per_second()) && message.per_second() >= 0;
     if (!isReadable)
@@ -286,22 +286,22 @@
     LimitStatement statement{ .life = message.life(),
         .at = now - Milliseconds{ static_cast<double>(message.age_milliseconds()) } };
     if (!message.is_over())
-        statement.perSecond = std::min(message.per_second(), HighestLimit);
+        statement.perSecond = std::min(message.per_second(), MaxRequestsPerSecond);
     const LimitChange change = this->parts.book->told(message.backend_server(), statement);
     this->apply(message.backend_server(), message.life());
-    this->note(message.backend_server(), change, way, now, actions);
+    this->handleChange(message.backend_server(), change, origin, now, actions);
 }
 
 void ServerLimits::fill(Messages& messages, bool onlyHeardHere, Milliseconds now) const
 {
     std::vector<std::pair<Milliseconds, const std::string*>> latest;
     for (const auto& [backendServer, statement] : this->parts.book->all()) {
-        const bool isTold = statement.isHeardHere || !onlyHeardHere;
-        if (isTold && now - statement.at <= this->options.toldFor)
+        const bool isReported = statement.isHeardHere || !onlyHeardHere;
+        if (isReported && now - statement.at <= this->options.reportFor)
             latest.emplace_back(statement.at, &backendServer);
     }
     std::sort(latest.begin(), latest.end(), [](const auto& left, const auto& right) { return left > right; });
-    latest.resize(std::min(latest.size(), MostTold));
+    latest.resize(std::min(latest.size(), MaxStatementsPerMessage));
     for (const auto& [at, backendServer] : latest)
         *messages.Add() = this->messageOf(*backendServer, this->parts.book->all().find(*backendServer)->second, now);
 }
@@ -309,7 +309,7 @@
 void ServerLimits::receive(const Messages& messages, bool isNews, Milliseconds now, Actions& actions)
 {
     for (const peers::NamedLimit& message : messages)
-        this->take(message, isNews ? Way::News : Way::Peer, now, actions);
+        this->mergeStatement(message, isNews ? Origin::Gossip : Origin::Peer, now, actions);
 }
 
 bool ServerLimits::mayGrant(Milliseconds now)
@@ -318,7 +318,7 @@
     if (!isFirst)
         this->grantsFrom = Never;
     else if (this->grantsFrom == Never)
-        this->grantsFrom = now + this->options.takeOver;
+        this->grantsFrom = now + this->options.takeOverDelay;
     return now >= this->grantsFrom;
 }
 
--- a/Source/Node/ServerLimits.h
+++ b/Source/Node/ServerLimits.h
@@ -43,22 +43,18 @@
 
     struct Options {
         peers::Member self;
-        Milliseconds answerPatience{
-            150
-        }; // time-out of a permit request: 40 ms inter-region round trip plus slow CPUs
-        Milliseconds silentPause{ 300 }; // after a time-out, the granting instance is not asked again for this long
+        Milliseconds askTimeout{ 150 }; // time-out of a permit request: 40 ms inter-region round trip plus slow CPUs
+        Milliseconds pauseAfterTimeout{ 300 }; // until a granting instance that did not answer is asked again
         /**
          * Delay before a new granting instance grants its first permit. Until all others know it, the previous one may
          * still grant; the slack in the limits covers what remains of that overlap.
          */
-        Milliseconds takeOver{ 500 };
-        Milliseconds toldFor{ 3000 }; // older statements are not forwarded any more
-        Milliseconds longestTellDelay{
-            300
-        }; // random delay, so that one of many instances with the same report sends it
+        Milliseconds takeOverDelay{ 500 };
+        Milliseconds reportFor{ 3000 }; // older statements are not forwarded any more
+        Milliseconds maxReportDelay{ 300 }; // random delay, so that one of many instances with the same report sends it
         double dealtShare = 0.1; // fraction of the limit that all instances share when none can be asked
         Milliseconds dealtWindow{ 4000 };
-        double shareOfUnknown = 0.25; // fraction of the limit granted while the size of the fleet is unknown
+        double unknownFleetShare = 0.25; // fraction of the limit granted while the size of the fleet is unknown
     };
 
     /** All must outlive this object. */
@@ -84,12 +80,12 @@
      * A request is queued for this service: asks for a permit if one may arrive while it waits. True when a permit is
      * available at once.
      */
-    bool wanted(const ServiceState& service, Milliseconds patience, Milliseconds now, Actions& actions);
+    bool requestQueued(const ServiceState& service, Milliseconds patience, Milliseconds now, Actions& actions);
     /**
      * A request of this service starts. Asks for a permit for a server whose limit has not been confirmed for long, so
      * that an answer shows whether the limit still applies.
      */
-    void begun(const ServiceState& service, Milliseconds now, Actions& actions);
+    void requestStarted(const ServiceState& service, Milliseconds now, Actions& actions);
 
     void receive(const peers::PeerMessage& message, Milliseconds now, Actions& actions);
     /** Appends the recent limit statements: all known ones, or only those received from servers by this instance. */
@@ -97,8 +93,8 @@
     /** Merges statements from another instance; isNews: with a gossip update, which goes to all instances. */
     void receive(const Messages& messages, bool isNews, Milliseconds now, Actions& actions);
     /** When to report new statements to other instances; Never when there are none. */
-    Milliseconds nextTelling() const { return this->untold.empty() ? Never : this->tellAt; }
-    void told() { this->untold.clear(); }
+    Milliseconds nextTelling() const { return this->unreported.empty() ? Never : this->reportAt; }
+    void told() { this->unreported.clear(); }
     /** True once after a change that may allow queued requests to be sent or refused. */
     bool takeChanged() { return std::exchange(this->changed, false); }
 
@@ -106,31 +102,32 @@
 
 private:
     /** How this instance received a limit statement. */
-    enum class Way {
+    enum class Origin {
         Answer, // in an answer of the server
         Peer, // in a message from one other instance
-        News // in a gossip update, which goes to all instances
+        Gossip // in a gossip update, which goes to all instances
     };
 
-    void note(const std::string& backendServer, LimitChange change, Way way, Milliseconds now, Actions& actions);
-    void tellLater(const std::string& backendServer, Milliseconds now);
+    void handleChange(
+        const std::string& backendServer, LimitChange change, Origin origin, Milliseconds now, Actions& actions);
+    void scheduleReport(const std::string& backendServer, Milliseconds now);
     void apply(const std::string& backendServer, std::uint64_t life);
     /** The service's servers for which a permit may be requested; onlyOld: only those not confirmed for long. */
-    std::vector<BackendServerState*> askable(const ServiceState& service, bool onlyOld, Milliseconds now) const;
+    std::vector<BackendServerState*> serversToAsk(const ServiceState& service, bool onlyOld, Milliseconds now) const;
     bool ask(BackendServerState& server, Milliseconds patience, Milliseconds now, Actions& actions);
-    void askGranting(const peers::Member& granting, BackendServerState& server, const LimitStatement& statement,
+    void askGrantingInstance(const peers::Member& granting, BackendServerState& server, const LimitStatement& statement,
         Milliseconds patience, Milliseconds now, Actions& actions);
     /** Takes a permit from this instance's share of the limit, without asking the granting instance. */
-    void deal(BackendServerState& server, Milliseconds now);
+    void takeSharedPermit(BackendServerState& server, Milliseconds now);
     PermitSchedule::Grant grant(const PermitSchedule::Wish& wish, Milliseconds now);
-    void settle(BackendServerState& server, const PermitSchedule::Grant& grant, Milliseconds now) const;
-    /** True when this instance is the granting one and its takeOver delay has passed. */
+    void applyGrant(BackendServerState& server, const PermitSchedule::Grant& grant, Milliseconds now) const;
+    /** True when this instance is the granting one and its take-over delay has passed. */
     bool mayGrant(Milliseconds now);
-    void asked(const peers::PermitAsk& ask, Milliseconds now, Actions& actions);
+    void handleAsk(const peers::PermitAsk& ask, Milliseconds now, Actions& actions);
     void answered(const peers::PermitAnswer& answer, Milliseconds now, Actions& actions);
     peers::NamedLimit messageOf(
         const std::string& backendServer, const LimitStatement& statement, Milliseconds now) const;
-    void take(const peers::NamedLimit& message, Way way, Milliseconds now, Actions& actions);
+    void mergeStatement(const peers::NamedLimit& message, Origin origin, Milliseconds now, Actions& actions);
     std::shared_ptr<BackendServerState> serverOf(const std::string& id, std::uint64_t life) const;
 
     Options options;
@@ -140,8 +137,8 @@
     std::optional<std::size_t> instances; // lower bound of the fleet's size
     Milliseconds grantsFrom = Never; // Never: another instance grants
     std::uint64_t lastAsk = 0;
-    std::set<std::string> untold; // servers with a statement that has not been reported to other instances yet
-    Milliseconds tellAt = Never;
+    std::set<std::string> unreported; // servers with a statement that has not been reported to other instances yet
+    Milliseconds reportAt = Never;
     bool changed = false;
 };
 
--- a/Source/Node/ServerPauses.cpp
+++ b/Source/Node/ServerPauses.cpp
@@ -17,7 +17,7 @@
     const Milliseconds pause = event.notice.pause;
     if (pause.count <= 0)
         return false;
-    const Milliseconds spread = std::min(pause, this->options.longestSpread) * this->parts.random->unit();
+    const Milliseconds spread = std::min(pause, this->options.maxSpread) * this->parts.random->unit();
     const Milliseconds until = now + pause + spread;
     // Stored even if the server has no record at the moment, as the record may come back.
     if (!this->parts.book->heardPause(event.backendServer, event.life, until, now))
--- a/Source/Node/ServerPauses.h
+++ b/Source/Node/ServerPauses.h
@@ -22,7 +22,7 @@
          * this, because a server often asks many instances for a pause at the same moment. At the bound, 18 instances
          * that each send one request within 500 ms load a server of three slots fully at 80 ms per request.
          */
-        Milliseconds longestSpread{ 500 };
+        Milliseconds maxSpread{ 500 };
     };
 
     /** All must outlive this object. */
--- a/Tests/Node/ColdServersTest.cpp
+++ b/Tests/Node/ColdServersTest.cpp
@@ -16,36 +16,36 @@
 constexpr std::size_t Servers = 6;
 constexpr Milliseconds Patience{ 2000 };
 constexpr Milliseconds Gap{ 2 };
-constexpr std::uint32_t BornePerSecond = 3;
+constexpr std::uint32_t ColdLimitPerSecond = 3;
 constexpr std::uint32_t ColdMilliseconds = 3000;
 /** Highest number of requests in a second that the platform accepts at a cold server. */
-constexpr double Allowed = BornePerSecond * 1.5 + 8;
+constexpr double MaxPerSecond = ColdLimitPerSecond * 1.5 + 8;
 
 /** The event half a second before a data centre's servers are taken back cold, and their cold-start limit. */
 struct Case {
     const char* name;
-    std::function<void(VirtualFleet&)> meanwhile;
-    std::uint32_t borne; // cold-start limit in requests per second; 0: none
-    bool isKept; // whether the limit is expected to hold
+    std::function<void(VirtualFleet&)> fault;
+    std::uint32_t coldLimit; // cold-start limit in requests per second; 0: none
+    bool limitHolds; // whether the limit is expected to hold
 };
 
-void loseAll(VirtualFleet& fleet)
+void restartAll(VirtualFleet& fleet)
 {
     for (std::size_t instance = 0; instance < Instances; ++instance)
         fleet.kill(instance);
     fleet.startAll();
 }
 
-void cutHalf(VirtualFleet& fleet)
+void partitionHalf(VirtualFleet& fleet)
 {
     for (std::size_t instance = 0; instance < Instances; instance += 2)
         fleet.cutFromPeers(instance, true);
 }
 
 const std::vector<Case> Cases{
-    { "nothing", [](VirtualFleet&) {}, BornePerSecond, true },
-    { "all instances restart", loseAll, BornePerSecond, true },
-    { "half of the instances are partitioned from the others", cutHalf, BornePerSecond, true },
+    { "nothing", [](VirtualFleet&) {}, ColdLimitPerSecond, true },
+    { "all instances restart", restartAll, ColdLimitPerSecond, true },
+    { "half of the instances are partitioned from the others", partitionHalf, ColdLimitPerSecond, true },
     { "nothing, without a cold-start limit", [](VirtualFleet&) {}, 0, false },
 };
 
@@ -53,16 +53,16 @@
 {
     v1::Configuration configuration = virtualConfiguration(fleet.serverIds(), revision);
     v1::Limits* limits = configuration.mutable_services(0)->mutable_limits();
-    limits->set_cold_requests_per_second(item.borne);
+    limits->set_cold_requests_per_second(item.coldLimit);
     limits->set_cold_start_milliseconds(ColdMilliseconds);
     if (isEmptied)
         configuration.add_emptied_data_centres("dc-2");
     return configuration;
 }
 
-void load(VirtualFleet& fleet, Milliseconds span)
+void load(VirtualFleet& fleet, Milliseconds duration)
 {
-    const Milliseconds end = fleet.now() + span;
+    const Milliseconds end = fleet.now() + duration;
     for (std::size_t turn = 0; fleet.now() < end; ++turn) {
         fleet.send(turn % Instances, "bookings.example", "GET", "/a", Patience);
         fleet.run(Gap);
@@ -70,7 +70,7 @@
 }
 
 /** The highest number of attempts at one server of dc-2 in any second of the interval. */
-std::size_t mostInASecond(const VirtualFleet& fleet, Milliseconds from, Milliseconds until)
+std::size_t maxInOneSecond(const VirtualFleet& fleet, Milliseconds from, Milliseconds until)
 {
     std::size_t most = 0;
     for (const char* server : { "/s1@", "/s4@" }) {
@@ -104,15 +104,15 @@
         fleet.configure(configurationOf(fleet, item, 1, true));
         fleet.startAll();
         load(fleet, { 6000 });
-        item.meanwhile(fleet);
+        item.fault(fleet);
         load(fleet, Second * 0.5);
         fleet.configure(configurationOf(fleet, item, 2, false));
         const Milliseconds backAt = fleet.now();
         const Milliseconds cold{ static_cast<double>(ColdMilliseconds) };
         load(fleet, cold + Second);
-        const std::size_t most = mostInASecond(fleet, backAt, backAt + cold);
-        CHECK_TEXT((static_cast<double>(most) <= Allowed) == item.isKept, item.name);
-        CHECK_TEXT(mostInASecond(fleet, backAt + cold, fleet.now()) > Allowed,
+        const std::size_t most = maxInOneSecond(fleet, backAt, backAt + cold);
+        CHECK_TEXT((static_cast<double>(most) <= MaxPerSecond) == item.limitHolds, item.name);
+        CHECK_TEXT(maxInOneSecond(fleet, backAt + cold, fleet.now()) > MaxPerSecond,
             "the servers are used again once they are warm");
     }
 }
--- a/Tests/Node/CrashRecorderTest.cpp
+++ b/Tests/Node/CrashRecorderTest.cpp
@@ -21,7 +21,7 @@
 peers::CrashNews someCrashes(std::uint64_t server)
 {
     peers::CrashNews crashes;
-    const ToldEnd told{ .digest = { .high = ~0ULL, .low = 0xbcULL },
+    const CrashReport told{ .digest = { .high = ~0ULL, .low = 0xbcULL },
         .end
         = { .server = server, .address = { .host = "10.0.0.1", .port = 0xfcbc }, .caller = 0xfeffULL, .at = { 0 } } };
     write(told, { 10 }, *crashes.add_ends());
--- a/Tests/Node/CrashingRequestTest.cpp
+++ b/Tests/Node/CrashingRequestTest.cpp
@@ -23,16 +23,16 @@
 
 constexpr std::size_t Servers = 7;
 constexpr std::size_t Struck = 1; // the instance that is killed, suspended or partitioned
-constexpr std::size_t EndsThatProve = 3;
-constexpr std::size_t MostSentLater = 3;
+constexpr std::size_t CrashesThatProve = 3;
+constexpr std::size_t MaxSentLater = 3;
 /** Three crashes are proof; attempts already in flight, or sent before slow gossip updates arrive, cause some more. */
-constexpr std::size_t MostEnds = 8;
+constexpr std::size_t MaxCrashes = 8;
 /** The time after the third crash by which every connected instance must know of the request. */
-constexpr Milliseconds Contact{ 3000 };
+constexpr Milliseconds KnownWithin{ 3000 };
 constexpr Milliseconds Settling{ 4000 };
 constexpr Milliseconds Gap{ 20 };
 /** The interval at which the request is sent again, each time to another instance. */
-constexpr Milliseconds ReturnsEvery{ 160 };
+constexpr Milliseconds ResendInterval{ 160 };
 
 const VirtualRequest Harmful{ .path = "/crews/7", .caller = "10.0.2.7", .body = "x", .crashesServers = true };
 
@@ -42,39 +42,39 @@
     std::size_t instances;
     std::function<void(VirtualFleet&)> plan;
     Milliseconds toPeer{ 1 };
-    Milliseconds struckInTouchAt; // from this time on, the struck instance must know of the request
+    Milliseconds struckKnowsFrom; // from this time on, the struck instance must know of the request
     Milliseconds watched{ 20000 };
 };
 
 /** Schedules an action after this delay. */
-void later(VirtualFleet& fleet, Milliseconds span, std::function<void(VirtualFleet&)> action)
+void schedule(VirtualFleet& fleet, Milliseconds duration, std::function<void(VirtualFleet&)> action)
 {
-    fleet.clock().after(span, [&fleet, action = std::move(action)] { action(fleet); });
+    fleet.clock().after(duration, [&fleet, action = std::move(action)] { action(fleet); });
 }
 
-void nothing(VirtualFleet&) { }
+void noFault(VirtualFleet&) { }
 
-void beginLater(VirtualFleet& fleet)
+void startLater(VirtualFleet& fleet)
 {
     fleet.kill(Struck);
-    later(fleet, { 6000 }, [](VirtualFleet& all) { all.start(Struck); });
+    schedule(fleet, { 6000 }, [](VirtualFleet& all) { all.start(Struck); });
 }
 
-void standStill(VirtualFleet& fleet)
+void suspend(VirtualFleet& fleet)
 {
     fleet.freeze(Struck);
-    later(fleet, { 8000 }, [](VirtualFleet& all) { all.wake(Struck); });
+    schedule(fleet, { 8000 }, [](VirtualFleet& all) { all.wake(Struck); });
 }
 
-void cutOff(VirtualFleet& fleet)
+void partition(VirtualFleet& fleet)
 {
     fleet.cutFromPeers(Struck, true);
-    later(fleet, { 8000 }, [](VirtualFleet& all) { all.cutFromPeers(Struck, false); });
+    schedule(fleet, { 8000 }, [](VirtualFleet& all) { all.cutFromPeers(Struck, false); });
 }
 
-void loseAll(VirtualFleet& fleet)
+void restartAll(VirtualFleet& fleet)
 {
-    later(fleet, { 5000 }, [](VirtualFleet& all) {
+    schedule(fleet, { 5000 }, [](VirtualFleet& all) {
         for (std::size_t instance = 0; instance < all.size(); ++instance) {
             all.kill(instance);
             all.start(instance);
@@ -82,9 +82,9 @@
     });
 }
 
-void loseWatchers(VirtualFleet& fleet)
+void restartWatchers(VirtualFleet& fleet)
 {
-    later(fleet, { 400 }, [](VirtualFleet& all) {
+    schedule(fleet, { 400 }, [](VirtualFleet& all) {
         for (std::size_t instance = 0; instance < all.size(); ++instance) {
             if (!all.isAlive(instance) || !all.node(instance).isWatching())
                 continue;
@@ -94,35 +94,35 @@
     });
 }
 
-void loseStore(VirtualFleet& fleet)
+void takeStoreDown(VirtualFleet& fleet)
 {
     fleet.theStore().setFault(StoreFault::Down);
-    later(fleet, { 9000 }, [](VirtualFleet& all) { all.theStore().setFault(StoreFault::None); });
+    schedule(fleet, { 9000 }, [](VirtualFleet& all) { all.theStore().setFault(StoreFault::None); });
 }
 
 const std::vector<Case> Cases{
-    { .name = "three", .instances = 3, .plan = nothing },
-    { .name = "eighteen", .instances = 18, .plan = nothing },
-    { .name = "eighteen, slow gossip updates", .instances = 18, .plan = nothing, .toPeer = { 300 } },
+    { .name = "three", .instances = 3, .plan = noFault },
+    { .name = "eighteen", .instances = 18, .plan = noFault },
+    { .name = "eighteen, slow gossip updates", .instances = 18, .plan = noFault, .toPeer = { 300 } },
     { .name = "ninety-five, slow gossip updates",
         .instances = 95,
-        .plan = nothing,
+        .plan = noFault,
         .toPeer = { 150 },
         .watched = { 8000 } },
-    { .name = "hundreds", .instances = 473, .plan = nothing, .watched = { 4600 } },
-    { .name = "one starts", .instances = 18, .plan = beginLater, .struckInTouchAt = { 9000 } },
-    { .name = "one of three starts", .instances = 3, .plan = beginLater, .struckInTouchAt = { 9000 } },
-    { .name = "one is suspended", .instances = 18, .plan = standStill, .struckInTouchAt = { 11000 } },
-    { .name = "one of three is suspended", .instances = 3, .plan = standStill, .struckInTouchAt = { 11000 } },
-    { .name = "one is partitioned from the others", .instances = 18, .plan = cutOff, .struckInTouchAt = { 11000 } },
-    { .name = "all restart", .instances = 18, .plan = loseAll },
-    { .name = "all of ninety-five restart", .instances = 95, .plan = loseAll, .watched = { 10000 } },
-    { .name = "the watchers restart", .instances = 18, .plan = loseWatchers },
-    { .name = "the store is down", .instances = 18, .plan = loseStore },
+    { .name = "hundreds", .instances = 473, .plan = noFault, .watched = { 4600 } },
+    { .name = "one starts", .instances = 18, .plan = startLater, .struckKnowsFrom = { 9000 } },
+    { .name = "one of three starts", .instances = 3, .plan = startLater, .struckKnowsFrom = { 9000 } },
+    { .name = "one is suspended", .instances = 18, .plan = suspend, .struckKnowsFrom = { 11000 } },
+    { .name = "one of three is suspended", .instances = 3, .plan = suspend, .struckKnowsFrom = { 11000 } },
+    { .name = "one is partitioned from the others", .instances = 18, .plan = partition, .struckKnowsFrom = { 11000 } },
+    { .name = "all restart", .instances = 18, .plan = restartAll },
+    { .name = "all of ninety-five restart", .instances = 95, .plan = restartAll, .watched = { 10000 } },
+    { .name = "the watchers restart", .instances = 18, .plan = restartWatchers },
+    { .name = "the store is down", .instances = 18, .plan = takeStoreDown },
 };
 
 struct Outcome {
-    std::size_t ends = 0;
+    std::size_t crashes = 0;
     std::size_t sentLater = 0;
 };
 
@@ -135,7 +135,7 @@
             .store = { .staleBehind = { 2000 } },
             .weakCapacity = 10,
             .strongInstances = 2 + item.instances / 12 })
-        , struckInTouchAt(item.struckInTouchAt)
+        , struckKnowsFrom(item.struckKnowsFrom)
     {
         for (std::size_t server = 0; server < Servers; ++server)
             this->fleet.addServer({ .id = "s" + std::to_string(server), .work = { 60 }, .workSpread = 0.5 });
@@ -146,18 +146,18 @@
         item.plan(this->fleet);
     }
 
-    void load(Milliseconds span)
+    void load(Milliseconds duration)
     {
-        const Milliseconds end = this->fleet.now() + span;
+        const Milliseconds end = this->fleet.now() + duration;
         while (this->fleet.now() < end) {
             const std::size_t number = this->turn++;
             // Harmless requests share either the path or the caller with the crashing one.
             const bool isOther = number % 2;
             this->fleet.send(number % this->fleet.size(),
                 { .path = isOther ? Harmful.path : "/crews/8", .caller = isOther ? "10.0.2.8" : Harmful.caller });
-            if (this->fleet.now() >= this->nextReturn) {
-                this->fleet.send(this->returns++ * 7 % this->fleet.size(), Harmful);
-                this->nextReturn = this->fleet.now() + ReturnsEvery;
+            if (this->fleet.now() >= this->nextResend) {
+                this->fleet.send(this->resends++ * 7 % this->fleet.size(), Harmful);
+                this->nextResend = this->fleet.now() + ResendInterval;
             }
             this->fleet.run(Gap);
         }
@@ -174,7 +174,7 @@
     }
 
     /** The times of all server crashes, in order. */
-    std::vector<Milliseconds> ends() const
+    std::vector<Milliseconds> crashes() const
     {
         std::vector<Milliseconds> times;
         for (const std::string& id : this->fleet.serverIds()) {
@@ -188,25 +188,25 @@
     /** How often the request was sent to a server after all connected instances should have known of it. */
     std::size_t sentLater() const
     {
-        const std::vector<Milliseconds> times = this->ends();
-        if (times.size() < EndsThatProve)
+        const std::vector<Milliseconds> times = this->crashes();
+        if (times.size() < CrashesThatProve)
             return 0;
-        const Milliseconds known = times[EndsThatProve - 1] + Contact;
+        const Milliseconds known = times[CrashesThatProve - 1] + KnownWithin;
         const auto& sent = this->fleet.sentAttempts();
         return static_cast<std::size_t>(std::count_if(sent.begin(), sent.end(), [&](const SentAttempt& attempt) {
-            const bool isInTouch = attempt.instance != Struck || attempt.at >= this->begunAt + this->struckInTouchAt;
-            return attempt.crashesServers && attempt.isListening && isInTouch && attempt.at > known;
+            const bool shouldKnow = attempt.instance != Struck || attempt.at >= this->begunAt + this->struckKnowsFrom;
+            return attempt.crashesServers && attempt.isListening && shouldKnow && attempt.at > known;
         }));
     }
 
     VirtualFleet fleet;
 
 private:
-    Milliseconds struckInTouchAt;
+    Milliseconds struckKnowsFrom;
     Milliseconds begunAt;
     std::size_t turn = 0;
-    std::size_t returns = 0;
-    Milliseconds nextReturn = LongAgo;
+    std::size_t resends = 0;
+    Milliseconds nextResend = LongAgo;
 };
 
 } // namespace
@@ -218,12 +218,12 @@
     for (const Case& item : Cases) {
         StruckFleet struck(item);
         struck.load(item.watched);
-        const Outcome outcome{ .ends = struck.ends().size(), .sentLater = struck.sentLater() };
+        const Outcome outcome{ .crashes = struck.crashes().size(), .sentLater = struck.sentLater() };
         const std::string found = std::string(item.name) + ": sent " + std::to_string(outcome.sentLater)
-            + " more times, " + std::to_string(outcome.ends) + " servers crashed";
-        CHECK_TEXT(outcome.ends >= EndsThatProve, found.c_str());
-        CHECK_TEXT(outcome.sentLater <= MostSentLater, found.c_str());
-        CHECK_TEXT(outcome.ends <= MostEnds, found.c_str());
+            + " more times, " + std::to_string(outcome.crashes) + " servers crashed";
+        CHECK_TEXT(outcome.crashes >= CrashesThatProve, found.c_str());
+        CHECK_TEXT(outcome.sentLater <= MaxSentLater, found.c_str());
+        CHECK_TEXT(outcome.crashes <= MaxCrashes, found.c_str());
     }
 }
 
@@ -231,7 +231,7 @@
 {
     StruckFleet struck(Cases.front());
     struck.load({ 4000 });
-    CHECK(struck.counted(DecisionCount::ServerEndsSeen) >= EndsThatProve);
+    CHECK(struck.counted(DecisionCount::ServerEndsSeen) >= CrashesThatProve);
     CHECK(struck.counted(DecisionCount::RequestsFoundCrashing) > 0);
     CHECK(struck.counted(DecisionCount::RetriesWithheld) > 0);
     const std::uint64_t before = struck.counted(RefusalReason::CrashesBackendServers);
--- a/Tests/Node/CustomerKeysTest.cpp
+++ b/Tests/Node/CustomerKeysTest.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::size_t Instances = 4;
 /** Time for a gossip update to reach all instances, including a round trip. */
-constexpr Milliseconds NewsRound{ 60 };
+constexpr Milliseconds GossipRound{ 60 };
 
 v1::Customer customerWith(const std::string& name, const std::vector<std::string>& keys)
 {
@@ -118,9 +118,9 @@
         Milliseconds bound;
     };
     const std::vector<Case> cases{
-        { "no fault", [](VirtualFleet&) {}, NewsRound },
+        { "no fault", [](VirtualFleet&) {}, GossipRound },
         { "the store rejects an instance", [](VirtualFleet& fleet) { fleet.theStore().setTurnedAway("entry-4", true); },
-            NewsRound },
+            GossipRound },
         { "an instance is partitioned from the others", [](VirtualFleet& fleet) { fleet.cutFromPeers(3, true); },
             { 2500 } },
     };
@@ -148,7 +148,7 @@
         numbers.push_back(keyed.fleet.send(0, request));
     keyed.fleet.run({ 100 });
     keyed.write({ customerWith("other", { "beta" }) });
-    keyed.fleet.run(NewsRound);
+    keyed.fleet.run(GossipRound);
     const std::size_t sentBefore = keyed.fleet.sentAttempts().size();
     keyed.fleet.run({ 3000 });
     LONGS_EQUAL(sentBefore, keyed.fleet.sentAttempts().size());
@@ -162,7 +162,7 @@
 {
     KeyedFleet keyed({ 20 });
     keyed.write({});
-    keyed.fleet.run(NewsRound);
+    keyed.fleet.run(GossipRound);
     for (const char* key : { "", "alpha", "gamma" })
         CHECK(keyed.call(key).outcome == CallerOutcome::Answered);
 }
--- a/Tests/Node/CustomerQuotaTest.cpp
+++ b/Tests/Node/CustomerQuotaTest.cpp
@@ -26,7 +26,7 @@
 constexpr double CalmLimit = 16;
 constexpr Milliseconds Gap{ 10 };
 
-double boundOf(double perSecond)
+double maxInWindowFor(double perSecond)
 {
     return perSecond * ((Bound.window / Second) + 1) * (1 + Bound.overage) + Bound.slack;
 }
@@ -51,11 +51,11 @@
     {
         const Milliseconds end = this->fleet.now() + span;
         while (this->fleet.now() < end) {
-            this->hotOwed += HotLimit / 1.6 * 8 * (Gap / Second);
-            this->calmOwed += CalmLimit / 1.6 * (Gap / Second);
-            for (; this->hotOwed >= 1; this->hotOwed -= 1)
+            this->hotDue += HotLimit / 1.6 * 8 * (Gap / Second);
+            this->calmDue += CalmLimit / 1.6 * (Gap / Second);
+            for (; this->hotDue >= 1; this->hotDue -= 1)
                 this->send("hot");
-            for (; this->calmOwed >= 1; this->calmOwed -= 1)
+            for (; this->calmDue >= 1; this->calmDue -= 1)
                 this->send("calm");
             this->fleet.run(Gap);
         }
@@ -72,7 +72,7 @@
     }
 
     /** The highest number of the customer's requests that reached servers within one window. */
-    std::size_t mostInWindow(const std::string& customer) const
+    std::size_t maxInWindow(const std::string& customer) const
     {
         std::size_t most = 0;
         std::deque<Milliseconds> window;
@@ -128,18 +128,18 @@
 
     v1::Configuration configuration;
     Random random{ 5 };
-    double hotOwed = 0;
-    double calmOwed = 0;
+    double hotDue = 0;
+    double calmDue = 0;
 };
 
 struct Case {
     const char* name;
-    std::function<void(LimitedFleet&)> trouble;
+    std::function<void(LimitedFleet&)> fault;
     std::function<void(LimitedFleet&)> heal;
-    double shareMeanwhile; // minimum share of the calm customer's requests answered in the 6 s after the fault
+    double minShareDuringFault; // minimum share of the calm customer's requests answered in the 6 s after the fault
 };
 
-void forAll(LimitedFleet& limited, const std::function<void(std::size_t)>& each)
+void forEachInstance(LimitedFleet& limited, const std::function<void(std::size_t)>& each)
 {
     for (std::size_t instance = 0; instance < limited.fleet.size(); ++instance)
         each(instance);
@@ -180,17 +180,18 @@
         [](LimitedFleet& limited) { limited.fleet.theStore().setFault(StoreFault::None); }, 0.75 },
     { "half of the instances are partitioned from all others",
         [](LimitedFleet& limited) {
-            forAll(limited, [&](std::size_t instance) { limited.fleet.cutFromPeers(instance, instance % 2 != 0); });
+            forEachInstance(
+                limited, [&](std::size_t instance) { limited.fleet.cutFromPeers(instance, instance % 2 != 0); });
         },
         [](LimitedFleet& limited) {
-            forAll(limited, [&](std::size_t instance) { limited.fleet.cutFromPeers(instance, false); });
+            forEachInstance(limited, [&](std::size_t instance) { limited.fleet.cutFromPeers(instance, false); });
         },
         0 }, // partitioned instances cannot reach the granting one
     { "all are killed and restart",
         [](LimitedFleet& limited) {
-            forAll(limited, [&](std::size_t instance) { limited.fleet.kill(instance); });
+            forEachInstance(limited, [&](std::size_t instance) { limited.fleet.kill(instance); });
             limited.fleet.run({ 300 });
-            forAll(limited, [&](std::size_t instance) { limited.fleet.start(instance); });
+            forEachInstance(limited, [&](std::size_t instance) { limited.fleet.start(instance); });
         },
         [](LimitedFleet&) {}, 0.4 },
 };
@@ -211,10 +212,10 @@
             const double before = limited.shareServed("calm", { 0 });
             CHECK_TEXT(before >= 0.98, (name + ", share at first " + std::to_string(before)).c_str());
             const Milliseconds begun = limited.fleet.now();
-            item.trouble(limited);
+            item.fault(limited);
             limited.load({ 6000 });
             const double meanwhile = limited.shareServed("calm", begun);
-            CHECK_TEXT(meanwhile >= item.shareMeanwhile, (name + ", share " + std::to_string(meanwhile)).c_str());
+            CHECK_TEXT(meanwhile >= item.minShareDuringFault, (name + ", share " + std::to_string(meanwhile)).c_str());
             item.heal(limited);
             limited.load({ 16000 });
             const Milliseconds later = limited.fleet.now();
@@ -222,10 +223,10 @@
             limited.fleet.run({ 2500 });
             const double after = limited.shareServed("calm", later);
             CHECK_TEXT(after >= 0.97, (name + ", share at last " + std::to_string(after)).c_str());
-            const std::size_t hot = limited.mostInWindow("hot");
-            CHECK_TEXT(
-                static_cast<double>(hot) <= boundOf(HotLimit), (name + ", window " + std::to_string(hot)).c_str());
-            CHECK_TEXT(static_cast<double>(limited.mostInWindow("calm")) <= boundOf(CalmLimit), name.c_str());
+            const std::size_t hot = limited.maxInWindow("hot");
+            CHECK_TEXT(static_cast<double>(hot) <= maxInWindowFor(HotLimit),
+                (name + ", window " + std::to_string(hot)).c_str());
+            CHECK_TEXT(static_cast<double>(limited.maxInWindow("calm")) <= maxInWindowFor(CalmLimit), name.c_str());
         }
     }
 }
--- a/Tests/Node/InnocentRequestsTest.cpp
+++ b/Tests/Node/InnocentRequestsTest.cpp
@@ -32,7 +32,7 @@
 }
 
 /** Kills these servers together and restarts them after a while, repeatedly. */
-void repeatEnds(VirtualFleet& fleet, const std::vector<std::string>& servers, Milliseconds every, Milliseconds down)
+void repeatCrashes(VirtualFleet& fleet, const std::vector<std::string>& servers, Milliseconds every, Milliseconds down)
 {
     for (Milliseconds at = every; at < Watched; at = at + every) {
         fleet.clock().after(at, [&fleet, servers] { setAll(fleet, servers, ServerFault::Dead); });
@@ -43,32 +43,32 @@
 struct Case {
     const char* name;
     std::function<void(VirtualFleet&)> plan;
-    Milliseconds harmfulEvery = Never; // interval of requests that crash servers; Never: none are sent
-    std::size_t harmful = 3; // number of distinct crashing requests, which differ in their bodies
+    Milliseconds crashingInterval = Never; // interval of requests that crash servers; Never: none are sent
+    std::size_t crashingRequests = 3; // number of distinct crashing requests, which differ in their bodies
     std::size_t servers = 9;
     /**
      * Harmless requests that may be refused, of about 2,500. With a dozen crashing requests on three servers, harmless
      * ones cannot be distinguished from them for a while.
      */
-    std::size_t mostRefused = 0;
+    std::size_t maxRefused = 0;
 };
 
 const std::vector<Case> Cases{
     { "a rack fails, four times",
         [](VirtualFleet& fleet) {
-            repeatEnds(fleet, { "s0", "s1", "s2" }, { 4000 }, Down);
+            repeatCrashes(fleet, { "s0", "s1", "s2" }, { 4000 }, Down);
         } },
     { "a data centre fails, four times",
         [](VirtualFleet& fleet) {
-            repeatEnds(fleet, { "s1", "s4", "s7" }, { 4000 }, Down);
+            repeatCrashes(fleet, { "s1", "s4", "s7" }, { 4000 }, Down);
         } },
     { "all servers crash, four times",
-        [](VirtualFleet& fleet) { repeatEnds(fleet, fleet.serverIds(), { 4000 }, Down); } },
-    { "a server restarts repeatedly", [](VirtualFleet& fleet) { repeatEnds(fleet, { "s0" }, { 600 }, { 300 }); } },
+        [](VirtualFleet& fleet) { repeatCrashes(fleet, fleet.serverIds(), { 4000 }, Down); } },
+    { "a server restarts repeatedly", [](VirtualFleet& fleet) { repeatCrashes(fleet, { "s0" }, { 600 }, { 300 }); } },
     { "two servers restart repeatedly",
         [](VirtualFleet& fleet) {
-            repeatEnds(fleet, { "s0" }, { 600 }, { 300 });
-            repeatEnds(fleet, { "s5" }, { 700 }, { 350 });
+            repeatCrashes(fleet, { "s0" }, { 600 }, { 300 });
+            repeatCrashes(fleet, { "s5" }, { 700 }, { 350 });
         } },
     { "servers lose answers",
         [](VirtualFleet& fleet) {
@@ -86,7 +86,7 @@
     { "crashing requests", [](VirtualFleet&) {}, { 150 } },
     { "crashing requests and a rack that fails",
         [](VirtualFleet& fleet) {
-            repeatEnds(fleet, { "s0", "s1", "s2" }, { 4000 }, Down);
+            repeatCrashes(fleet, { "s0", "s1", "s2" }, { 4000 }, Down);
         },
         { 150 } },
     { "twelve crashing requests and three servers", [](VirtualFleet&) {}, { 20 }, 12, 3, 80 },
@@ -106,10 +106,10 @@
 
 struct Outcome {
     std::size_t refused = 0; // harmless requests refused as crashing servers
-    std::size_t harmfulRefused = 0;
+    std::size_t crashingRefused = 0;
 };
 
-Outcome play(const Case& item)
+Outcome runCase(const Case& item)
 {
     VirtualFleet fleet({ .instances = Instances });
     for (std::size_t server = 0; server < item.servers; ++server)
@@ -118,20 +118,20 @@
     fleet.startAll();
     fleet.run(Settling);
     item.plan(fleet);
-    Milliseconds nextHarmful = item.harmfulEvery == Never ? Never : fleet.now();
+    Milliseconds nextCrashing = item.crashingInterval == Never ? Never : fleet.now();
     std::size_t turn = 0;
-    std::size_t harmfulTurn = 0;
+    std::size_t crashingTurn = 0;
     const Milliseconds end = fleet.now() + Watched;
     while (fleet.now() < end) {
         const std::size_t number = turn++;
         fleet.send(number % Instances, identity(number % Identities));
-        if (fleet.now() >= nextHarmful) {
+        if (fleet.now() >= nextCrashing) {
             fleet.send(number % Instances,
                 { .path = "/crews/7",
                     .caller = "10.0.2.1",
-                    .body = "x" + std::to_string(harmfulTurn++ % item.harmful),
+                    .body = "x" + std::to_string(crashingTurn++ % item.crashingRequests),
                     .crashesServers = true });
-            nextHarmful = nextHarmful + item.harmfulEvery;
+            nextCrashing = nextCrashing + item.crashingInterval;
         }
         fleet.run(Gap);
     }
@@ -139,7 +139,7 @@
     for (const auto& [number, caller] : fleet.callers()) {
         const bool isRefused
             = caller.outcome != CallerOutcome::Answered && caller.reason == RefusalReason::CrashesBackendServers;
-        std::size_t& count = caller.crashesServers ? outcome.harmfulRefused : outcome.refused;
+        std::size_t& count = caller.crashesServers ? outcome.crashingRefused : outcome.refused;
         count += isRefused ? 1 : 0;
     }
     return outcome;
@@ -152,10 +152,10 @@
 TEST(InnocentRequests, AreServedWhereverServersEnd)
 {
     std::vector<Outcome> outcomes(Cases.size());
-    runInParallel(Cases.size(), [&](std::size_t index) { outcomes[index] = play(Cases[index]); });
+    runInParallel(Cases.size(), [&](std::size_t index) { outcomes[index] = runCase(Cases[index]); });
     for (std::size_t index = 0; index < Cases.size(); ++index) {
-        CHECK_TEXT(outcomes[index].refused <= Cases[index].mostRefused, Cases[index].name);
-        const bool hasHarmful = Cases[index].harmfulEvery != Never;
-        CHECK_EQUAL_TEXT(hasHarmful, outcomes[index].harmfulRefused > 50, Cases[index].name);
+        CHECK_TEXT(outcomes[index].refused <= Cases[index].maxRefused, Cases[index].name);
+        const bool hasCrashing = Cases[index].crashingInterval != Never;
+        CHECK_EQUAL_TEXT(hasCrashing, outcomes[index].crashingRefused > 50, Cases[index].name);
     }
 }
--- a/Tests/Node/LapsedServersTest.cpp
+++ b/Tests/Node/LapsedServersTest.cpp
@@ -15,11 +15,11 @@
 /** The store item of one server disappears after the store has been silent for a time. */
 struct Case {
     const char* name;
-    double silence; // milliseconds from the last update until the item is removed
+    double silenceMilliseconds; // from the last update until the item is removed
     const char* before; // value of the item
-    double backAfter; // milliseconds from the removal until the item is back; 0: never
-    const char* soon; // expected state of the server 100 ms after the removal
-    const char* later; // expected state 2.1 s after the removal
+    double backAfterMilliseconds; // from the removal until the item is back; 0: never
+    const char* stateSoon; // expected state of the server 100 ms after the removal
+    const char* stateLater; // expected state 2.1 s after the removal
 };
 
 const std::vector<Case> Cases{
@@ -64,11 +64,11 @@
         add("document", "route host.example /");
         add("server/s1", value);
         this->node->handle(PeerMessageArrived{ .message = push }, this->now, this->actions);
-        this->hear(nullptr, false);
+        this->receiveUpdate(nullptr, false);
     }
 
     /** Receives a gossip update from a watcher; it changes the server's item if there is a value or it is removed. */
-    void hear(const char* value, bool isRemoved)
+    void receiveUpdate(const char* value, bool isRemoved)
     {
         peers::PeerMessage message;
         message.set_version(PeerProtocolVersion);
@@ -111,20 +111,20 @@
 {
     for (const Case& item : Cases) {
         this->begin(item.before);
-        this->pass(item.silence);
-        this->hear(nullptr, true);
+        this->pass(item.silenceMilliseconds);
+        this->receiveUpdate(nullptr, true);
         this->pass(100);
-        STRCMP_EQUAL_TEXT(item.soon, this->state().c_str(), item.name);
-        if (item.backAfter > 0) {
-            this->pass(item.backAfter - 100);
-            this->hear("ready", false);
-            this->pass(2100 - item.backAfter);
+        STRCMP_EQUAL_TEXT(item.stateSoon, this->state().c_str(), item.name);
+        if (item.backAfterMilliseconds > 0) {
+            this->pass(item.backAfterMilliseconds - 100);
+            this->receiveUpdate("ready", false);
+            this->pass(2100 - item.backAfterMilliseconds);
         } else {
             this->pass(1000);
-            this->hear(nullptr, false);
+            this->receiveUpdate(nullptr, false);
             this->pass(1000);
         }
-        STRCMP_EQUAL_TEXT(item.later, this->state().c_str(), item.name);
+        STRCMP_EQUAL_TEXT(item.stateLater, this->state().c_str(), item.name);
     }
 }
 
@@ -132,9 +132,9 @@
 {
     this->begin("ready");
     this->pass(4500);
-    this->hear(nullptr, true);
+    this->receiveUpdate(nullptr, true);
     CHECK(this->node->nextControlDue() <= this->now + Milliseconds{ 2000 });
     this->pass(1999);
-    this->hear(nullptr, false);
+    this->receiveUpdate(nullptr, false);
     CHECK(this->node->nextControlDue() <= this->now + Milliseconds{ 1 });
 }
--- a/Tests/Node/LateCallersTest.cpp
+++ b/Tests/Node/LateCallersTest.cpp
@@ -11,19 +11,19 @@
 namespace {
 
 constexpr Milliseconds Target{ 300 };
-constexpr Milliseconds FirstTryBrings{ 2000 };
-constexpr Milliseconds LateOneBrings{ 1200 };
+constexpr Milliseconds FreshTimeLeft{ 2000 };
+constexpr Milliseconds LateTimeLeft{ 1200 };
 constexpr Milliseconds Span{ 10000 };
 
 /** The load consists of first attempts (fresh) and late ones; the servers answer 60 requests per second. */
 struct Case {
     const char* name;
-    bool freshFirst;
+    bool inTimeFirst;
     double fresh; // requests per second
     double late; // requests per second
-    double leastFresh; // minimum share of fresh requests answered
-    double leastLate; // minimum share of late requests answered
-    double mostLate; // maximum share of late requests answered
+    double minFreshAnswered; // minimum share of fresh requests answered
+    double minLateAnswered; // minimum share of late requests answered
+    double maxLateAnswered; // maximum share of late requests answered
 };
 
 const std::vector<Case> Cases{
@@ -67,18 +67,18 @@
     fleet.clock().after(gap, [&fleet, gap, kind, timeLeft, turn] { callEvery(fleet, gap, kind, timeLeft, turn + 1); });
 }
 
-Shares play(const Case& item)
+Shares runCase(const Case& item)
 {
     VirtualFleet::Options options;
-    options.requests.freshFirst = item.freshFirst;
+    options.requests.inTimeFirst = item.inTimeFirst;
     VirtualFleet fleet(options);
     for (const char* id : { "s1", "s2" })
         fleet.addServer({ .id = id, .work = { 100 }, .workSpread = 0.3 });
     fleet.configure(configurationOf(fleet));
     fleet.startAll();
     fleet.run({ 500 });
-    callEvery(fleet, Second * (1 / item.fresh), "fresh", FirstTryBrings);
-    callEvery(fleet, Second * (1 / item.late), "late", LateOneBrings);
+    callEvery(fleet, Second * (1 / item.fresh), "fresh", FreshTimeLeft);
+    callEvery(fleet, Second * (1 / item.late), "late", LateTimeLeft);
     fleet.run(Span);
     return { .fresh = shareAnswered(fleet, "fresh"), .late = shareAnswered(fleet, "late") };
 }
@@ -90,9 +90,9 @@
 TEST(LateCallers, CallersThatCanStillBeInTimeGoFirst)
 {
     for (const Case& item : Cases) {
-        const Shares shares = play(item);
-        CHECK_TEXT(shares.fresh >= item.leastFresh, item.name);
-        CHECK_TEXT(shares.late >= item.leastLate, item.name);
-        CHECK_TEXT(shares.late <= item.mostLate, item.name);
+        const Shares shares = runCase(item);
+        CHECK_TEXT(shares.fresh >= item.minFreshAnswered, item.name);
+        CHECK_TEXT(shares.late >= item.minLateAnswered, item.name);
+        CHECK_TEXT(shares.late <= item.maxLateAnswered, item.name);
     }
 }
--- a/Tests/Node/PausedServersTest.cpp
+++ b/Tests/Node/PausedServersTest.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr Milliseconds Settling{ 4000 };
-constexpr Milliseconds AtReturn{ 100 };
+constexpr Milliseconds AfterPause{ 100 };
 
 /** Servers that refuse all requests for the duration of a pause, the load, and additional events. */
 struct Case {
@@ -27,37 +27,37 @@
     std::size_t servers;
     std::size_t asking; // number of servers that ask for a pause
     Milliseconds pause;
-    Milliseconds between; // interval between requests to the whole fleet
+    Milliseconds interval; // between requests to the whole fleet
     Milliseconds work;
     std::function<void(VirtualFleet&)> plan;
 };
 
-void nothing(VirtualFleet&) { }
+void noEvent(VirtualFleet&) { }
 
-void returnTheRecords(VirtualFleet& fleet)
+void removeAndRestoreRecords(VirtualFleet& fleet)
 {
     fleet.clock().after({ 600 }, [&fleet] { fleet.configure(virtualConfiguration({ "s9" }, 2)); });
     fleet.clock().after({ 900 }, [&fleet] { fleet.configure(virtualConfiguration(fleet.serverIds(), 3)); });
 }
 
 const std::vector<Case> Cases{
-    { "one of four", 3, 4, 1, { 2000 }, { 5 }, { 20 }, nothing },
-    { "all at once", 3, 4, 4, { 2000 }, { 5 }, { 20 }, nothing },
-    { "all at once, many instances", 95, 30, 30, { 3000 }, { 2 }, { 20 }, nothing },
-    { "slow requests, which are hedged", 3, 4, 2, { 2000 }, { 40 }, { 200 }, nothing },
-    { "requests are queued for free slots", 3, 3, 1, { 1500 }, { 3 }, { 40 }, nothing },
-    { "the servers' records are removed and restored", 3, 4, 4, { 3000 }, { 5 }, { 20 }, returnTheRecords },
+    { "one of four", 3, 4, 1, { 2000 }, { 5 }, { 20 }, noEvent },
+    { "all at once", 3, 4, 4, { 2000 }, { 5 }, { 20 }, noEvent },
+    { "all at once, many instances", 95, 30, 30, { 3000 }, { 2 }, { 20 }, noEvent },
+    { "slow requests, which are hedged", 3, 4, 2, { 2000 }, { 40 }, { 200 }, noEvent },
+    { "requests are queued for free slots", 3, 3, 1, { 1500 }, { 3 }, { 40 }, noEvent },
+    { "the servers' records are removed and restored", 3, 4, 4, { 3000 }, { 5 }, { 20 }, removeAndRestoreRecords },
 };
 
-/** The requests that a server can process or queue in the AtReturn period that follows its pause. */
-std::size_t bearableAtReturn(const Case& item)
+/** The requests that a server can process or queue in the AfterPause period that follows its pause. */
+std::size_t maxAtReturn(const Case& item)
 {
     constexpr double slots = 3;
     constexpr double queue = 6;
-    return static_cast<std::size_t>(slots * (AtReturn / item.work) + queue);
+    return static_cast<std::size_t>(slots * (AfterPause / item.work) + queue);
 }
 
-bool isAsking(const Case& item, const std::string& id)
+bool asksForPause(const Case& item, const std::string& id)
 {
     for (std::size_t server = 0; server < item.asking; ++server) {
         if (id.find("/s" + std::to_string(server) + "@") != std::string::npos)
@@ -66,7 +66,7 @@
     return false;
 }
 
-void setAsking(VirtualFleet& fleet, const Case& item, bool begins)
+void setPausing(VirtualFleet& fleet, const Case& item, bool begins)
 {
     for (std::size_t server = 0; server < item.asking; ++server) {
         fleet.server("s" + std::to_string(server)).setPause(item.pause);
@@ -74,7 +74,7 @@
     }
 }
 
-void play(const Case& item)
+void runCase(const Case& item)
 {
     VirtualFleet::Options options;
     options.instances = item.instances;
@@ -84,13 +84,13 @@
     fleet.configure(virtualConfiguration(fleet.serverIds(), 1));
     fleet.startAll();
     fleet.run(Settling);
-    fleet.repeat([](std::size_t) { return VirtualRequest{}; }, item.between);
+    fleet.repeat([](std::size_t) { return VirtualRequest{}; }, item.interval);
     fleet.run(Settling);
-    setAsking(fleet, item, true);
+    setPausing(fleet, item, true);
     const Milliseconds from = fleet.now();
     item.plan(fleet);
     fleet.run(item.pause);
-    setAsking(fleet, item, false);
+    setPausing(fleet, item, false);
     fleet.run(item.pause);
     CHECK_TEXT(!fleet.heardNotices().empty(), item.name);
     for (const std::string& sentence : sentAgainstWords(fleet))
@@ -99,11 +99,11 @@
     const Milliseconds end = from + item.pause;
     const auto returned = std::count_if(sent.begin(), sent.end(), [&](const SentAttempt& attempt) {
         return attempt.backendServer.find("/s0@") != std::string::npos && attempt.at >= end
-            && attempt.at < end + AtReturn;
+            && attempt.at < end + AfterPause;
     });
-    CHECK_TEXT(static_cast<std::size_t>(returned) <= bearableAtReturn(item), item.name);
+    CHECK_TEXT(static_cast<std::size_t>(returned) <= maxAtReturn(item), item.name);
     const bool isUsedAgain = std::any_of(sent.begin(), sent.end(),
-        [&](const SentAttempt& attempt) { return isAsking(item, attempt.backendServer) && attempt.at > end; });
+        [&](const SentAttempt& attempt) { return asksForPause(item, attempt.backendServer) && attempt.at > end; });
     CHECK_TEXT(isUsedAgain, item.name);
 }
 
@@ -114,7 +114,7 @@
 TEST(PausedServers, GetNothingFromWhoeverTheyAsked)
 {
     for (const Case& item : Cases)
-        play(item);
+        runCase(item);
 }
 
 TEST(PausedServers, OtherInstancesAreNotHeldBack)
--- a/Tests/Node/RolloutTest.cpp
+++ b/Tests/Node/RolloutTest.cpp
@@ -79,7 +79,7 @@
             this->fleet.server("n" + std::to_string(server)).setFault(fault);
     }
 
-    /** The first live instance that watches the store. */
+    /** The first live instance that watches the store; it is taken for the leading watcher, which writes the state. */
     std::size_t writer()
     {
         for (std::size_t instance = 0; instance < this->fleet.size(); ++instance) {
@@ -141,7 +141,7 @@
 /** A fault during the roll-out. */
 struct Case {
     const char* name;
-    std::function<void(RolledFleet&)> trouble; // called after a quarter of the duration
+    std::function<void(RolledFleet&)> fault; // called after a quarter of the duration
     std::function<void(RolledFleet&)> heal; // called after half of the duration
 };
 
@@ -203,7 +203,7 @@
             rolled.load({ 1000 });
             rolled.order();
             rolled.load(Duration * 0.25);
-            item.trouble(rolled);
+            item.fault(rolled);
             rolled.load(Duration * 0.25);
             item.heal(rolled);
             Milliseconds doneAt = Never;
@@ -249,7 +249,7 @@
                     rolled.breakNew(bad.fault);
                 rolled.order();
                 rolled.load(Duration * 0.25);
-                item.trouble(rolled);
+                item.fault(rolled);
                 rolled.load(Duration * 0.15);
                 if (bad.from > 0 && bad.from < 0.5)
                     rolled.breakNew(bad.fault);
--- a/Tests/Node/ServerLimitsTest.cpp
+++ b/Tests/Node/ServerLimitsTest.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-void nothing(VirtualFleet&) { }
+void noFault(VirtualFleet&) { }
 
-std::size_t grantingOne(VirtualFleet& fleet)
+std::size_t grantingInstance(VirtualFleet& fleet)
 {
     for (std::size_t instance = 0; instance < fleet.size(); ++instance) {
         if (fleet.isAlive(instance) && fleet.node(instance).grantsPermits(fleet.now()))
@@ -26,34 +26,34 @@
     return 0;
 }
 
-void killTheGranting(VirtualFleet& fleet)
+void killGrantingInstance(VirtualFleet& fleet)
 {
     fleet.clock().after({ 5000 }, [&fleet] {
-        const std::size_t granting = grantingOne(fleet);
+        const std::size_t granting = grantingInstance(fleet);
         fleet.kill(granting);
         fleet.clock().after({ 1000 }, [&fleet, granting] { fleet.start(granting); });
     });
 }
 
-void freezeTheGranting(VirtualFleet& fleet)
+void suspendGrantingInstance(VirtualFleet& fleet)
 {
     fleet.clock().after({ 5000 }, [&fleet] {
-        const std::size_t granting = grantingOne(fleet);
+        const std::size_t granting = grantingInstance(fleet);
         fleet.freeze(granting);
         fleet.clock().after({ 4000 }, [&fleet, granting] { fleet.wake(granting); });
     });
 }
 
-void cutTheGranting(VirtualFleet& fleet)
+void partitionGrantingInstance(VirtualFleet& fleet)
 {
     fleet.clock().after({ 4000 }, [&fleet] {
-        const std::size_t granting = grantingOne(fleet);
+        const std::size_t granting = grantingInstance(fleet);
         fleet.cutFromPeers(granting, true);
         fleet.clock().after({ 5000 }, [&fleet, granting] { fleet.cutFromPeers(granting, false); });
     });
 }
 
-void cutInHalves(VirtualFleet& fleet)
+void partitionInHalves(VirtualFleet& fleet)
 {
     fleet.clock().after({ 4000 }, [&fleet] {
         for (std::size_t instance = 0; instance < fleet.size(); ++instance)
@@ -65,7 +65,7 @@
     });
 }
 
-void cutInHalvesBefore(VirtualFleet& fleet)
+void partitionInHalvesBefore(VirtualFleet& fleet)
 {
     for (std::size_t instance = 0; instance < fleet.size(); ++instance)
         fleet.setSide(instance, instance % 2);
@@ -81,32 +81,32 @@
     });
 }
 
-void storeAway(VirtualFleet& fleet)
+void takeStoreDown(VirtualFleet& fleet)
 {
     fleet.theStore().setFault(StoreFault::Down);
 }
 
-void joinAll(VirtualFleet& fleet)
+void startSecondHalf(VirtualFleet& fleet)
 {
     for (std::size_t instance = fleet.size() / 2; instance < fleet.size(); ++instance)
         fleet.clock().after({ 2000 }, [&fleet, instance] { fleet.start(instance); });
 }
 
 const std::vector<LimitPlay> Plays{
-    { "one server of four", 2, 4, 1, 2.7, { 15 }, nothing, false },
-    { "all servers, two instances", 2, 2, 2, 2.7, { 40 }, nothing },
-    { "all servers, 13 instances", 13, 5, 5, 2.7, { 15 }, nothing },
-    { "half a request a second", 13, 2, 2, 0.5, { 50 }, nothing },
-    { "a high limit", 13, 2, 2, 30, { 8 }, nothing },
-    { "95 instances", 95, 6, 6, 3, { 8 }, nothing },
-    { "the granting instance is killed", 13, 2, 2, 5, { 20 }, killTheGranting, false },
-    { "the granting instance is suspended", 13, 2, 2, 5, { 20 }, freezeTheGranting, false },
-    { "the granting instance is partitioned", 13, 2, 2, 5, { 20 }, cutTheGranting, false },
-    { "a partition in halves", 12, 2, 2, 5, { 20 }, cutInHalves, false },
-    { "a partition in halves before the limit is known", 12, 2, 2, 5, { 20 }, cutInHalvesBefore, false, false },
+    { "one server of four", 2, 4, 1, 2.7, { 15 }, noFault, false },
+    { "all servers, two instances", 2, 2, 2, 2.7, { 40 }, noFault },
+    { "all servers, 13 instances", 13, 5, 5, 2.7, { 15 }, noFault },
+    { "half a request a second", 13, 2, 2, 0.5, { 50 }, noFault },
+    { "a high limit", 13, 2, 2, 30, { 8 }, noFault },
+    { "95 instances", 95, 6, 6, 3, { 8 }, noFault },
+    { "the granting instance is killed", 13, 2, 2, 5, { 20 }, killGrantingInstance, false },
+    { "the granting instance is suspended", 13, 2, 2, 5, { 20 }, suspendGrantingInstance, false },
+    { "the granting instance is partitioned", 13, 2, 2, 5, { 20 }, partitionGrantingInstance, false },
+    { "a partition in halves", 12, 2, 2, 5, { 20 }, partitionInHalves, false },
+    { "a partition in halves before the limit is known", 12, 2, 2, 5, { 20 }, partitionInHalvesBefore, false, false },
     { "all are killed and restart", 13, 2, 2, 5, { 20 }, killAll, false, false },
-    { "the store is down", 13, 2, 2, 5, { 20 }, storeAway },
-    { "half of the fleet joins", 26, 2, 2, 5, { 20 }, joinAll, false, true, 13 },
+    { "the store is down", 13, 2, 2, 5, { 20 }, takeStoreDown },
+    { "half of the fleet joins", 26, 2, 2, 5, { 20 }, startSecondHalf, false, true, 13 },
 };
 
 }
--- a/Tests/Node/SilentRequestsTest.cpp
+++ b/Tests/Node/SilentRequestsTest.cpp
@@ -43,7 +43,7 @@
 }
 
 /** Runs a search whose first attempt is never answered, while all slots of the sound server hold bookings. */
-VirtualCaller searchOf(const Case& item)
+VirtualCaller runSearch(const Case& item)
 {
     VirtualFleet::Options options;
     options.instances = 1;
@@ -73,7 +73,7 @@
 TEST(SilentRequests, AreLookedAtAgainUntilAnotherServerHasRoom)
 {
     for (const Case& item : Cases) {
-        const VirtualCaller search = searchOf(item);
+        const VirtualCaller search = runSearch(item);
         CHECK_TEXT(search.outcome == CallerOutcome::Answered, item.name);
         CHECK_TEXT(search.endedAt - search.sentAt <= AnsweredWithin, item.name);
     }
--- a/Tests/Node/SplitRoutesTest.cpp
+++ b/Tests/Node/SplitRoutesTest.cpp
@@ -23,11 +23,11 @@
     std::unique_ptr<RoutingPolicy> create() const override { return std::make_unique<LoadAwarePolicy>(); }
 };
 
-using Parts = std::vector<WeightedService>;
+using Targets = std::vector<WeightedService>;
 
-const Parts Divided{ { .service = "small", .weight = 25 }, { .service = "large", .weight = 75 } };
-const Parts Turned{ { .service = "small", .weight = 75 }, { .service = "large", .weight = 25 } };
-const Parts OnlyLarge{ { .service = "large", .weight = 1 } };
+const Targets MostlyLarge{ { .service = "small", .weight = 25 }, { .service = "large", .weight = 75 } };
+const Targets MostlySmall{ { .service = "small", .weight = 75 }, { .service = "large", .weight = 25 } };
+const Targets OnlyLarge{ { .service = "large", .weight = 1 } };
 
 /** The service tables of a fleet whose instances receive the requests of one route at random. */
 class Fleet {
@@ -42,10 +42,10 @@
         }
     }
 
-    void lead(const Parts& parts)
+    void setTargets(const Targets& targets)
     {
         auto routing = std::make_shared<PreparedRouting>();
-        routing->configuration.routes.push_back({ .name = "r", .host = "a", .pathPrefix = "/", .services = parts });
+        routing->configuration.routes.push_back({ .name = "r", .host = "a", .pathPrefix = "/", .services = targets });
         routing->configuration.services = { { .name = "small" }, { .name = "large" } };
         routing->routes = RouteTable(routing->configuration);
         for (const auto& table : this->tables)
@@ -77,7 +77,7 @@
 };
 
 /** Accepted deviation of a target's share from its weight. */
-constexpr double Stray = 0.05;
+constexpr double MaxDeviation = 0.05;
 
 }
 
@@ -87,14 +87,14 @@
 {
     for (const std::size_t instances : { 3, 40, 984 }) {
         Fleet fleet(instances);
-        fleet.lead(Divided);
+        fleet.setTargets(MostlyLarge);
         fleet.shareOfLarge(instances * 10);
-        fleet.lead(OnlyLarge);
+        fleet.setTargets(OnlyLarge);
         DOUBLES_EQUAL(1, fleet.shareOfLarge(instances * 40), 0);
-        fleet.lead(Divided);
-        DOUBLES_EQUAL(0.75, fleet.shareOfLarge(850), Stray);
-        fleet.lead(Turned);
-        DOUBLES_EQUAL(0.25, fleet.shareOfLarge(850), Stray);
+        fleet.setTargets(MostlyLarge);
+        DOUBLES_EQUAL(0.75, fleet.shareOfLarge(850), MaxDeviation);
+        fleet.setTargets(MostlySmall);
+        DOUBLES_EQUAL(0.25, fleet.shareOfLarge(850), MaxDeviation);
     }
 }
 
@@ -102,9 +102,9 @@
 {
     for (const std::size_t instances : { 40, 984, 2000 }) {
         Fleet fleet(instances);
-        for (const Parts& parts : { Divided, Turned, Divided }) {
-            fleet.lead(parts);
-            DOUBLES_EQUAL(parts.back().weight / 100.0, fleet.shareOfLarge(850), Stray);
+        for (const Targets& targets : { MostlyLarge, MostlySmall, MostlyLarge }) {
+            fleet.setTargets(targets);
+            DOUBLES_EQUAL(targets.back().weight / 100.0, fleet.shareOfLarge(850), MaxDeviation);
         }
     }
 }
@@ -113,7 +113,7 @@
 {
     for (const std::size_t instances : { 3, 40 }) {
         Fleet fleet(instances);
-        fleet.lead(Divided);
-        DOUBLES_EQUAL(0.75, fleet.shareOfLarge(instances * 100, 3), Stray);
+        fleet.setTargets(MostlyLarge);
+        DOUBLES_EQUAL(0.75, fleet.shareOfLarge(instances * 100, 3), MaxDeviation);
     }
 }
