--- a/Source/Node/CrashRecorder.cpp
+++ b/Source/Node/CrashRecorder.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-using EndKey = std::tuple<std::string, std::uint64_t, std::uint32_t>;
+using CrashKey = std::tuple<std::string, std::uint64_t, std::uint32_t>;
 
-/** What is told, apart from the ages. */
-std::set<EndKey> keysOf(const peers::CrashNews& crashes)
+/** Identifies the crashes of a record independent of their ages, which change with every encoding. */
+std::set<CrashKey> crashKeysOf(const peers::CrashNews& crashes)
 {
-    std::set<EndKey> keys;
+    std::set<CrashKey> keys;
     for (const peers::ServerEnd& end : crashes.ends())
         keys.emplace(end.digest(), end.server(), end.ordinal());
     return keys;
@@ -35,7 +35,7 @@
 std::string writeKeptCrashes(const peers::CrashNews& crashes)
 {
     std::string text;
-    // A message of plain fields always has a text.
+    // Cannot fail: the message contains only scalar fields and lists of such messages.
     static_cast<void>(google::protobuf::util::MessageToJsonString(crashes, &text));
     return text;
 }
@@ -50,18 +50,18 @@
 
 void CrashRecorder::changed(Milliseconds now)
 {
-    this->dueAt = std::min(this->dueAt, now + this->options.settle);
+    this->dueAt = std::min(this->dueAt, now + this->options.settleDelay);
 }
 
 std::optional<StoreRequest> CrashRecorder::next(
     const peers::CrashNews& kept, const StoreItem* stored, bool leads, Milliseconds now)
 {
-    const auto there = stored ? readKeptCrashes(stored->value) : std::optional<peers::CrashNews>(std::in_place);
-    if (there && keysOf(*there) == keysOf(kept)) {
+    const auto storedCrashes = stored ? readKeptCrashes(stored->value) : std::optional<peers::CrashNews>(std::in_place);
+    if (storedCrashes && crashKeysOf(*storedCrashes) == crashKeysOf(kept)) {
         this->dueAt = Never;
         return std::nullopt;
     }
-    this->dueAt = now + this->options.recheck;
+    this->dueAt = now + this->options.recheckInterval;
     if (!leads)
         return std::nullopt;
     StoreRequest request;
@@ -85,12 +85,13 @@
         this->backoff.reset();
         this->written
             = StoreItem{ .key = CrashesKey, .value = std::move(this->value), .revision = answer.at, .removed = false };
-        // Once more: it may have changed meanwhile.
+        // Check again: more crashes may have become known during the write.
         this->changed(now);
         return true;
     }
-    // After a conflict the watch brings what is there; without an answer it may bring what was written.
-    this->dueAt = now + this->options.settle + this->backoff.next(*this->random);
+    // Before the next try, the watch delivers the current item: after a conflict another instance's, after a lost
+    // answer possibly the one written here.
+    this->dueAt = now + this->options.settleDelay + this->backoff.next(*this->random);
     return true;
 }
 
--- a/Tests/Node/ColdServersTest.cpp
+++ b/Tests/Node/ColdServersTest.cpp
@@ -16,62 +16,61 @@
 constexpr std::size_t Servers = 6;
 constexpr Milliseconds Patience{ 2000 };
 constexpr Milliseconds Gap{ 2 };
-constexpr std::uint32_t BornePerSecond = 3;
+constexpr std::uint32_t ColdLimitPerSecond = 3;
 constexpr std::uint32_t ColdMilliseconds = 3000;
-/** What the users' platform allows beyond what a cold server bears. */
-constexpr double Allowed = BornePerSecond * 1.5 + 8;
+/** Highest number of requests in a second that the platform accepts at a cold server. */
+constexpr double MaxPerSecond = ColdLimitPerSecond * 1.5 + 8;
 
-/** What happens half a second before the servers of a data centre come back cold, and whether operators named a bound.
- */
+/** The event half a second before a data centre's servers are taken back cold, and their cold-start limit. */
 struct Case {
     const char* name;
-    std::function<void(VirtualFleet&)> meanwhile;
-    std::uint32_t borne; // 0: no bound is named
-    bool isKept;
+    std::function<void(VirtualFleet&)> fault;
+    std::uint32_t coldLimit; // cold-start limit in requests per second; 0: none
+    bool limitHolds; // whether the limit is expected to hold
 };
 
-void loseAll(VirtualFleet& fleet)
+void restartAll(VirtualFleet& fleet)
 {
     for (std::size_t instance = 0; instance < Instances; ++instance)
         fleet.kill(instance);
     fleet.startAll();
 }
 
-void cutHalf(VirtualFleet& fleet)
+void partitionHalf(VirtualFleet& fleet)
 {
     for (std::size_t instance = 0; instance < Instances; instance += 2)
         fleet.cutFromPeers(instance, true);
 }
 
 const std::vector<Case> Cases{
-    { "nothing", [](VirtualFleet&) {}, BornePerSecond, true },
-    { "all instances begin anew", loseAll, BornePerSecond, true },
-    { "half of them are cut off from the others", cutHalf, BornePerSecond, true },
-    { "nothing, and no bound", [](VirtualFleet&) {}, 0, false },
+    { "nothing", [](VirtualFleet&) {}, ColdLimitPerSecond, true },
+    { "all instances restart", restartAll, ColdLimitPerSecond, true },
+    { "half of the instances are partitioned from the others", partitionHalf, ColdLimitPerSecond, true },
+    { "nothing, without a cold-start limit", [](VirtualFleet&) {}, 0, false },
 };
 
 v1::Configuration configurationOf(const VirtualFleet& fleet, const Case& item, std::uint32_t revision, bool isEmptied)
 {
     v1::Configuration configuration = virtualConfiguration(fleet.serverIds(), revision);
     v1::Limits* limits = configuration.mutable_services(0)->mutable_limits();
-    limits->set_cold_requests_per_second(item.borne);
+    limits->set_cold_requests_per_second(item.coldLimit);
     limits->set_cold_start_milliseconds(ColdMilliseconds);
     if (isEmptied)
         configuration.add_emptied_data_centres("dc-2");
     return configuration;
 }
 
-void load(VirtualFleet& fleet, Milliseconds span)
+void load(VirtualFleet& fleet, Milliseconds duration)
 {
-    const Milliseconds end = fleet.now() + span;
+    const Milliseconds end = fleet.now() + duration;
     for (std::size_t turn = 0; fleet.now() < end; ++turn) {
         fleet.send(turn % Instances, "bookings.example", "GET", "/a", Patience);
         fleet.run(Gap);
     }
 }
 
-/** The most attempts at one server of dc-2 within any second of a span. */
-std::size_t mostInASecond(const VirtualFleet& fleet, Milliseconds from, Milliseconds until)
+/** The highest number of attempts at one server of dc-2 in any second of the interval. */
+std::size_t maxInOneSecond(const VirtualFleet& fleet, Milliseconds from, Milliseconds until)
 {
     std::size_t most = 0;
     for (const char* server : { "/s1@", "/s4@" }) {
@@ -94,7 +93,8 @@
 
 TEST_GROUP(ColdServers){};
 
-// 500 requests a second from 40 instances, as a data centre with a third of the servers is taken back.
+// Sends 500 requests per second through 40 instances while a data centre with a third of the servers is taken back into
+// use.
 TEST(ColdServers, TheWholeFleetKeepsTheirBoundWhenTheyComeBack)
 {
     for (const Case& item : Cases) {
@@ -104,15 +104,15 @@
         fleet.configure(configurationOf(fleet, item, 1, true));
         fleet.startAll();
         load(fleet, { 6000 });
-        item.meanwhile(fleet);
+        item.fault(fleet);
         load(fleet, Second * 0.5);
         fleet.configure(configurationOf(fleet, item, 2, false));
         const Milliseconds backAt = fleet.now();
         const Milliseconds cold{ static_cast<double>(ColdMilliseconds) };
         load(fleet, cold + Second);
-        const std::size_t most = mostInASecond(fleet, backAt, backAt + cold);
-        CHECK_TEXT((static_cast<double>(most) <= Allowed) == item.isKept, item.name);
-        CHECK_TEXT(
-            mostInASecond(fleet, backAt + cold, fleet.now()) > Allowed, "they are used again when they are warm");
+        const std::size_t most = maxInOneSecond(fleet, backAt, backAt + cold);
+        CHECK_TEXT((static_cast<double>(most) <= MaxPerSecond) == item.limitHolds, item.name);
+        CHECK_TEXT(maxInOneSecond(fleet, backAt + cold, fleet.now()) > MaxPerSecond,
+            "the servers are used again once they are warm");
     }
 }
--- a/Tests/Node/CustomerKeysTest.cpp
+++ b/Tests/Node/CustomerKeysTest.cpp
@@ -1,6 +1,5 @@
-// Requests of callers without a key, with one that nobody holds, and with one
-// that is taken away while the request waits or while the store turns the
-// instance away.
+// Requests without a key, with an unknown key, and with a key that is revoked
+// while the request is queued or while the store rejects the instance.
 
 #include "Tests/Virtual/VirtualFleet.h"
 
@@ -17,8 +16,8 @@
 namespace {
 
 constexpr std::size_t Instances = 4;
-/** A round of news, with the way there and back. */
-constexpr Milliseconds NewsRound{ 60 };
+/** Time for a gossip update to reach all instances, including a round trip. */
+constexpr Milliseconds GossipRound{ 60 };
 
 v1::Customer customerWith(const std::string& name, const std::vector<std::string>& keys)
 {
@@ -119,10 +118,10 @@
         Milliseconds bound;
     };
     const std::vector<Case> cases{
-        { "calm", [](VirtualFleet&) {}, NewsRound },
-        { "the store turns an instance away",
-            [](VirtualFleet& fleet) { fleet.theStore().setTurnedAway("entry-4", true); }, NewsRound },
-        { "an instance is cut off from the others", [](VirtualFleet& fleet) { fleet.cutFromPeers(3, true); },
+        { "no fault", [](VirtualFleet&) {}, GossipRound },
+        { "the store rejects an instance", [](VirtualFleet& fleet) { fleet.theStore().setTurnedAway("entry-4", true); },
+            GossipRound },
+        { "an instance is partitioned from the others", [](VirtualFleet& fleet) { fleet.cutFromPeers(3, true); },
             { 2500 } },
     };
     for (const Case& item : cases) {
@@ -149,7 +148,7 @@
         numbers.push_back(keyed.fleet.send(0, request));
     keyed.fleet.run({ 100 });
     keyed.write({ customerWith("other", { "beta" }) });
-    keyed.fleet.run(NewsRound);
+    keyed.fleet.run(GossipRound);
     const std::size_t sentBefore = keyed.fleet.sentAttempts().size();
     keyed.fleet.run({ 3000 });
     LONGS_EQUAL(sentBefore, keyed.fleet.sentAttempts().size());
@@ -163,7 +162,7 @@
 {
     KeyedFleet keyed({ 20 });
     keyed.write({});
-    keyed.fleet.run(NewsRound);
+    keyed.fleet.run(GossipRound);
     for (const char* key : { "", "alpha", "gamma" })
         CHECK(keyed.call(key).outcome == CallerOutcome::Answered);
 }
--- a/Tests/Node/CustomerQuotaTest.cpp
+++ b/Tests/Node/CustomerQuotaTest.cpp
@@ -1,7 +1,7 @@
-// A customer sends many times what its limit allows, while the instance that
-// grants credit is lost, stands still, is cut off or loses the store. What
-// reaches servers in any five seconds is counted over all instances; and a
-// customer that stays below its limit is to be served all the same.
+// One customer sends five times its quota while the instance that grants credit
+// is killed, suspended, partitioned or loses the store. Checks that over all
+// instances no window of five seconds lets through more than the bound, and
+// that a second customer, which stays within its quota, is still served.
 
 #include "Tests/Virtual/VirtualFleet.h"
 
@@ -26,7 +26,7 @@
 constexpr double CalmLimit = 16;
 constexpr Milliseconds Gap{ 10 };
 
-double boundOf(double perSecond)
+double maxInWindowFor(double perSecond)
 {
     return perSecond * ((Bound.window / Second) + 1) * (1 + Bound.overage) + Bound.slack;
 }
@@ -46,16 +46,16 @@
         this->fleet.run({ 8000 });
     }
 
-    /** The hot one sends 8 times its usual, the calm one its usual. */
+    /** A customer's normal rate is its limit / 1.6. The hot one sends 8 times that, the calm one exactly that. */
     void load(Milliseconds span)
     {
         const Milliseconds end = this->fleet.now() + span;
         while (this->fleet.now() < end) {
-            this->hotOwed += HotLimit / 1.6 * 8 * (Gap / Second);
-            this->calmOwed += CalmLimit / 1.6 * (Gap / Second);
-            for (; this->hotOwed >= 1; this->hotOwed -= 1)
+            this->hotDue += HotLimit / 1.6 * 8 * (Gap / Second);
+            this->calmDue += CalmLimit / 1.6 * (Gap / Second);
+            for (; this->hotDue >= 1; this->hotDue -= 1)
                 this->send("hot");
-            for (; this->calmOwed >= 1; this->calmOwed -= 1)
+            for (; this->calmDue >= 1; this->calmDue -= 1)
                 this->send("calm");
             this->fleet.run(Gap);
         }
@@ -71,8 +71,8 @@
         return this->fleet.size();
     }
 
-    /** The most of its requests that reached servers within a window. */
-    std::size_t mostInWindow(const std::string& customer) const
+    /** The highest number of the customer's requests that reached servers within one window. */
+    std::size_t maxInWindow(const std::string& customer) const
     {
         std::size_t most = 0;
         std::deque<Milliseconds> window;
@@ -88,7 +88,7 @@
         return most;
     }
 
-    /** Of its requests since then. */
+    /** The share of the customer's requests since this time that were answered. */
     double shareServed(const std::string& customer, Milliseconds since) const
     {
         double sent = 0;
@@ -119,7 +119,7 @@
         VirtualRequest request;
         request.key = "key-of-" + customer;
         request.kind = customer;
-        // The platform leads callers to instances that live.
+        // The platform sends callers to live instances only.
         std::size_t instance = this->random.below(this->fleet.size());
         while (!this->fleet.isAlive(instance))
             instance = (instance + 1) % this->fleet.size();
@@ -128,18 +128,18 @@
 
     v1::Configuration configuration;
     Random random{ 5 };
-    double hotOwed = 0;
-    double calmOwed = 0;
+    double hotDue = 0;
+    double calmDue = 0;
 };
 
 struct Case {
     const char* name;
-    std::function<void(LimitedFleet&)> trouble;
+    std::function<void(LimitedFleet&)> fault;
     std::function<void(LimitedFleet&)> heal;
-    double shareMeanwhile; // of the calm one's requests, in the 6 s after the trouble
+    double minShareDuringFault; // minimum share of the calm customer's requests answered in the 6 s after the fault
 };
 
-void forAll(LimitedFleet& limited, const std::function<void(std::size_t)>& each)
+void forEachInstance(LimitedFleet& limited, const std::function<void(std::size_t)>& each)
 {
     for (std::size_t instance = 0; instance < limited.fleet.size(); ++instance)
         each(instance);
@@ -151,46 +151,47 @@
     { "nothing", [](LimitedFleet&) {}, [](LimitedFleet&) {}, 0.99 },
     { "the granting instance is killed", [](LimitedFleet& limited) { limited.fleet.kill(struck); },
         [](LimitedFleet& limited) { limited.fleet.start(struck); }, 0.25 },
-    { "it is killed and begins anew at once",
+    { "it is killed and restarts at once",
         [](LimitedFleet& limited) {
             limited.fleet.kill(struck);
             limited.fleet.start(struck);
         },
         [](LimitedFleet&) {}, 0.6 },
-    { "it stops as planned",
+    { "it shuts down gracefully",
         [](LimitedFleet& limited) {
             limited.fleet.askToStop(struck);
             limited.fleet.run({ 2500 });
             limited.fleet.kill(struck);
         },
         [](LimitedFleet& limited) { limited.fleet.start(struck); }, 0.8 },
-    { "it stands still", [](LimitedFleet& limited) { limited.fleet.freeze(struck); },
+    { "it is suspended", [](LimitedFleet& limited) { limited.fleet.freeze(struck); },
         [](LimitedFleet& limited) { limited.fleet.wake(struck); }, 0.25 },
-    { "it is cut off from the others", [](LimitedFleet& limited) { limited.fleet.cutFromPeers(struck, true); },
+    { "it is partitioned from the others", [](LimitedFleet& limited) { limited.fleet.cutFromPeers(struck, true); },
         [](LimitedFleet& limited) { limited.fleet.cutFromPeers(struck, false); }, 0.25 },
-    { "the store turns it away",
+    { "the store rejects it",
         [](LimitedFleet& limited) {
             limited.fleet.theStore().setTurnedAway("entry-" + std::to_string(struck + 1), true);
         },
         [](LimitedFleet& limited) {
             limited.fleet.theStore().setTurnedAway("entry-" + std::to_string(struck + 1), false);
         },
-        0.75 }, // half of the limit is granted, eight tenths of its usual
-    { "the store is away", [](LimitedFleet& limited) { limited.fleet.theStore().setFault(StoreFault::Silent); },
+        0.75 }, // half of the limit is granted, which is 0.8 of the customer's normal rate
+    { "the store is silent", [](LimitedFleet& limited) { limited.fleet.theStore().setFault(StoreFault::Silent); },
         [](LimitedFleet& limited) { limited.fleet.theStore().setFault(StoreFault::None); }, 0.75 },
-    { "half of the fleet is cut off, instance from instance",
+    { "half of the instances are partitioned from all others",
         [](LimitedFleet& limited) {
-            forAll(limited, [&](std::size_t instance) { limited.fleet.cutFromPeers(instance, instance % 2 != 0); });
+            forEachInstance(
+                limited, [&](std::size_t instance) { limited.fleet.cutFromPeers(instance, instance % 2 != 0); });
         },
         [](LimitedFleet& limited) {
-            forAll(limited, [&](std::size_t instance) { limited.fleet.cutFromPeers(instance, false); });
+            forEachInstance(limited, [&](std::size_t instance) { limited.fleet.cutFromPeers(instance, false); });
         },
-        0 }, // across the cut nobody can be asked
-    { "all are killed and begin anew",
+        0 }, // partitioned instances cannot reach the granting one
+    { "all are killed and restart",
         [](LimitedFleet& limited) {
-            forAll(limited, [&](std::size_t instance) { limited.fleet.kill(instance); });
+            forEachInstance(limited, [&](std::size_t instance) { limited.fleet.kill(instance); });
             limited.fleet.run({ 300 });
-            forAll(limited, [&](std::size_t instance) { limited.fleet.start(instance); });
+            forEachInstance(limited, [&](std::size_t instance) { limited.fleet.start(instance); });
         },
         [](LimitedFleet&) {}, 0.4 },
 };
@@ -211,10 +212,10 @@
             const double before = limited.shareServed("calm", { 0 });
             CHECK_TEXT(before >= 0.98, (name + ", share at first " + std::to_string(before)).c_str());
             const Milliseconds begun = limited.fleet.now();
-            item.trouble(limited);
+            item.fault(limited);
             limited.load({ 6000 });
             const double meanwhile = limited.shareServed("calm", begun);
-            CHECK_TEXT(meanwhile >= item.shareMeanwhile, (name + ", share " + std::to_string(meanwhile)).c_str());
+            CHECK_TEXT(meanwhile >= item.minShareDuringFault, (name + ", share " + std::to_string(meanwhile)).c_str());
             item.heal(limited);
             limited.load({ 16000 });
             const Milliseconds later = limited.fleet.now();
@@ -222,10 +223,10 @@
             limited.fleet.run({ 2500 });
             const double after = limited.shareServed("calm", later);
             CHECK_TEXT(after >= 0.97, (name + ", share at last " + std::to_string(after)).c_str());
-            const std::size_t hot = limited.mostInWindow("hot");
-            CHECK_TEXT(
-                static_cast<double>(hot) <= boundOf(HotLimit), (name + ", window " + std::to_string(hot)).c_str());
-            CHECK_TEXT(static_cast<double>(limited.mostInWindow("calm")) <= boundOf(CalmLimit), name.c_str());
+            const std::size_t hot = limited.maxInWindow("hot");
+            CHECK_TEXT(static_cast<double>(hot) <= maxInWindowFor(HotLimit),
+                (name + ", window " + std::to_string(hot)).c_str());
+            CHECK_TEXT(static_cast<double>(limited.maxInWindow("calm")) <= maxInWindowFor(CalmLimit), name.c_str());
         }
     }
 }
