--- a/Source/Node/Actions.h
+++ b/Source/Node/Actions.h
@@ -19,38 +19,38 @@
 
 namespace burlreach {
 
-/** What a refused caller is told of its request. */
+/** Whether a refused request may have run, as reported to the caller. */
 enum class RefusedOutcome {
     NotRun, // no backend server ran it, and none will
     Unknown // it may have run
 };
 
-/** Send the request to a backend server; report the end with AttemptEnded. */
+/** Send the request to a backend server and report the result with AttemptEnded. */
 struct SendAttempt {
     RequestNumber request = 0;
     AttemptNumber attempt = 0;
-    std::string backendServer; // the life that must take it; any other refuses
-    std::uint64_t life = 0; // of the server, as its record tells it
+    std::string backendServer; // id of the server that must run it; any other server at the address refuses
+    std::uint64_t life = 0; // of the server, from its store record
     NetworkAddress address;
     Milliseconds timeLeft; // until the final answer is due
     bool mayRepeat = false; // the request may run more than once
-    bool isKeyKept = false; // the caller's key and the name that it claims do not go on
-    std::string customer; // the server is told whose request it is; empty: nobody's
+    bool isKeyKept = false; // the caller's key and claimed customer name are withheld from the server
+    std::string customer; // name forwarded to the server; empty: the request belongs to no customer
 };
 
-/** Give an attempt up and tell the backend server; no AttemptEnded is awaited. */
+/** Cancel an attempt and notify the backend server; AttemptEnded is not expected. */
 struct CancelAttempt {
     RequestNumber request = 0;
     AttemptNumber attempt = 0;
 };
 
-/** Pass the whole answer of this attempt to the caller. */
+/** Forward the complete answer of this attempt to the caller. */
 struct PassAnswer {
     RequestNumber request = 0;
     AttemptNumber attempt = 0;
 };
 
-/** Answer the caller now, without a backend server's answer. */
+/** Answer the caller with an error instead of a backend server's answer. */
 struct RefuseRequest {
     RequestNumber request = 0;
     RefusedOutcome outcome = RefusedOutcome::NotRun;
@@ -58,62 +58,63 @@
     Milliseconds comeBackAfter;
 };
 
-/** Probe a backend server; report the end with ProbeEnded. */
+/** Probe a backend server and report the result with ProbeEnded. */
 struct SendProbe {
     Probe probe;
 };
 
 /**
- * No new request may go to this life of a backend server: attempts of which
- * nothing was written yet end as not sent, and idle connections to it are
- * closed.
+ * Stop sending requests to this backend server: attempts of which no byte was
+ * written end as not sent, and idle connections to the server are closed.
  */
 struct StopSendingTo {
     std::string backendServer;
-    bool keepsConnections = false; // it will be sent requests again
+    bool keepsConnections = false; // leave idle connections open, because the server will receive requests again
 };
 
 /**
- * Look whether the process of a backend server still listens, by a connection
- * that is kept for the next request; report with ServerChecked.
+ * Check whether the process of a backend server still accepts connections and
+ * report the result with ServerChecked. A connection that succeeds is kept for
+ * the next request.
  */
 struct CheckServer {
     std::string backendServer;
     NetworkAddress address;
 };
 
-/** What callers may send from now on. */
+/** Apply new limits on what callers may send. */
 struct SetCallerLimits {
     CallerLimits limits;
 };
 
-/** Send a message to another instance; it may get lost. */
+/** Send a message to another instance; delivery is not guaranteed. */
 struct SendToPeer {
     NetworkAddress address;
     peers::PeerMessage message;
 };
 
-/** Call the store; report the answer with StoreAnswered. */
+/** Call the store and report the answer with StoreAnswered. */
 struct AskStore {
     StoreRequest request;
 };
 
 /**
- * Read a large item of the store with translateItem(), apart from the decisions
- * on requests; report the result with ItemTranslated.
+ * Translate a large item of the store with translateItem() outside the node,
+ * so that requests do not wait for it, and report the result with
+ * ItemTranslated.
  */
 struct TranslateItem {
     StoreItem item;
     FactSource source = FactSource::Store;
 };
 
-/** Answer an operator's change. */
+/** Answer an operator's ChangeAsked. */
 struct AnswerChange {
     OperatorCallNumber call = 0;
     v1::ChangeAnswer answer;
 };
 
-/** Answer an operator's question about what is in force where. */
+/** Answer an operator's InForceAsked. */
 struct AnswerInForce {
     OperatorCallNumber call = 0;
     v1::ShowInForceAnswer answer;
--- a/Source/Node/BackendServerChange.h
+++ b/Source/Node/BackendServerChange.h
@@ -6,15 +6,15 @@
 
 namespace burlreach {
 
-/** A life of a backend server that came, changed or went. */
+/** A change of a backend server's record. */
 struct BackendServerChange {
     enum class Kind {
         Added,
         Changed,
-        Restarted, // another life under the same id
+        Restarted, // same id, new life
         Draining,
-        Lapsed, // its record is missing and may come back
-        Unusable, // its record cannot be read any more
+        Lapsed, // the record was removed and is kept, as it may be written again
+        Unusable, // the record is no longer readable
         Gone
     };
 
@@ -22,7 +22,7 @@
     BackendServerRecord record;
 };
 
-/** As it stands in log lines, such as "backend_server_added". */
+/** The kind's name in log lines, such as "backend_server_added". */
 std::string_view nameOf(BackendServerChange::Kind kind);
 
 }
--- a/Source/Node/BeliefRecords.h
+++ b/Source/Node/BeliefRecords.h
@@ -9,10 +9,10 @@
 
 namespace burlreach {
 
-/** The store names another instance that grants credit for customers' requests, or none. */
+/** Logs the instance that grants credit for customers' requests, as read from the store, or that there is none. */
 DecisionRecord recordOfGrantor(const StoreItem& item, FactSource source);
 
-/** A line for each route that is divided among services, up to so many. */
+/** Logs one record for each route with several weighted services, at most `most`. */
 void addRecordsOfSplits(const RoutingConfiguration& configuration, std::size_t most, Actions& actions);
 
 }
--- a/Source/Node/DecisionRecord.h
+++ b/Source/Node/DecisionRecord.h
@@ -9,8 +9,8 @@
 
 enum class RecordTopic {
     Request, // a decision on one request
-    Refusal, // a request that got no backend server's answer, or a retry
-    Belief // what this instance believes has changed
+    Refusal, // a request that no backend server answered, or a retry
+    Belief // the state known to this instance has changed
 };
 
 /** A named input or outcome. */
@@ -20,22 +20,22 @@
     bool isNumber = false;
 };
 
-/** One decision with the inputs that decided it, for the log. */
+/** A log record of one decision and its inputs. */
 struct DecisionRecord {
     RecordTopic topic = RecordTopic::Belief;
     std::string_view event; // of static storage, such as "attempt_sent"
-    std::string subject; // id of the request, the backend server or the instance
+    std::string subject; // id of the request, backend server or instance
     std::vector<RecordField> fields;
 
     DecisionRecord& with(std::string_view name, std::string value);
     DecisionRecord& with(std::string_view name, std::string_view value) { return this->with(name, std::string(value)); }
     DecisionRecord& with(std::string_view name, const char* value) { return this->with(name, std::string(value)); }
-    /** A number, to a tenth. */
+    /** Adds a number rounded to a tenth; "never" when it is not finite. */
     DecisionRecord& with(std::string_view name, double value);
     DecisionRecord& with(std::string_view name, std::uint64_t value);
 };
 
-/** A record of what this instance believes; the subject is what it is about. */
+/** A record of a change in the state known to this instance; the subject names what changed. */
 DecisionRecord beliefOf(std::string_view event, std::string subject);
 
 }
--- a/Source/Node/EventSink.h
+++ b/Source/Node/EventSink.h
@@ -4,7 +4,7 @@
 
 namespace burlreach {
 
-/** Takes events from any thread to the decisions of this instance. */
+/** Posts events from any thread to the instance's Node. */
 class EventSink {
 public:
     virtual ~EventSink() = default;
--- a/Source/Node/Events.h
+++ b/Source/Node/Events.h
@@ -22,31 +22,31 @@
 
 namespace burlreach {
 
-/** A caller sent a whole request. */
+/** A caller's request was received completely. */
 struct RequestArrived {
-    RequestNumber request = 0; // never used twice on this instance
+    RequestNumber request = 0; // unique on this instance
     std::string host;
     std::string method;
     std::string path;
     std::string requestId; // empty: the caller gave none
     std::optional<Milliseconds> timeLeft; // until the caller's deadline, when it gave one
     std::size_t bodyBytes = 0;
-    std::string caller; // the address from which it came, without the port
+    std::string caller; // the caller's address, without the port
     Credential credential;
-    RequestDigest digest; // not known: nothing is remembered of it
+    RequestDigest digest; // when unknown, crashes during this request are not recorded
 };
 
-/** A request was refused before its decisions began; it is only counted. */
+/** A request was refused before it reached the node; it is only counted. */
 struct RefusedEarly {
     RefusalReason reason = RefusalReason::TooManySessions;
 };
 
-/** The caller closed its connection and takes no answer any more. */
+/** The caller closed its connection before its request was answered. */
 struct CallerGone {
     RequestNumber request = 0;
 };
 
-/** An attempt that was sent has ended. */
+/** An attempt requested by SendAttempt has ended. */
 struct AttemptEnded {
     RequestNumber request = 0;
     AttemptNumber attempt = 0;
@@ -54,35 +54,38 @@
     AttemptEnd end;
 };
 
-/** The header of an answer to an attempt or a probe says something of the server itself; it comes before their end. */
+/**
+ * The header of an answer to an attempt or a probe held a notice of the server about itself. This event precedes
+ * AttemptEnded or ProbeEnded.
+ */
 struct ServerNoticed {
     std::string backendServer;
     std::uint64_t life = 0;
     ServerNotice notice;
-    Milliseconds sentAt = LongAgo; // what is answered was sent then
+    Milliseconds sentAt = LongAgo; // when the attempt or probe that is answered was sent
 };
 
-/** An answer held a field that nothing here reads, for the first time. */
+/** A backend server's answer held a header field that burlreach does not read; posted once per field. */
 struct UnreadFieldSeen {
     std::string backendServer;
     std::string field;
-    std::string value; // its beginning
+    std::string value; // truncated
 };
 
-/** A probe that was sent has ended. */
+/** A probe requested by SendProbe has ended. */
 struct ProbeEnded {
     ProbeNumber probe = 0;
     ProbeEnd end;
 };
 
-/** What a new connection to a backend server showed. */
+/** The result of opening a new connection to a backend server. */
 enum class ServerCheck {
-    NobodyListens, // the address refused it: the process has ended
-    CameUp,
-    NoAnswer // the machine may be dark, or the way to it cut
+    NobodyListens, // connection refused: the process has ended
+    CameUp, // connected
+    NoAnswer // the backend server or the network may be down
 };
 
-/** A look at a backend server has ended. */
+/** A check requested by CheckServer has ended. */
 struct ServerChecked {
     std::string backendServer;
     ServerCheck result = ServerCheck::NoAnswer;
@@ -93,48 +96,48 @@
     peers::PeerMessage message;
 };
 
-/** The store answered a call, or gave no answer. */
+/** A call to the store was answered or failed. */
 struct StoreAnswered {
     StoreAnswer answer;
 };
 
 struct TranslatedItem;
 
-/** A large item of the store was read, as a TranslateItem asked. */
+/** A translation requested by TranslateItem has ended. */
 struct ItemTranslated {
     std::shared_ptr<const TranslatedItem> item; // never null
 };
 
-/** The settings name other instances from which to begin. */
+/** The list of seed instances in the settings changed. */
 struct SeedsChanged {
     std::vector<NetworkAddress> seeds;
 };
 
-/** An operator asked for a change. */
+/** An operator requested a configuration change. */
 struct ChangeAsked {
     OperatorCallNumber call = 0;
     v1::ChangeRequest request;
 };
 
-/** An operator asked what is in force where. */
+/** An operator asked which store revision is in force on each instance. */
 struct InForceAsked {
     OperatorCallNumber call = 0;
 };
 
-/** This instance is about to stop. */
+/** This instance was asked to stop and drains its requests. */
 struct StopAsked { };
 
-/** The time of RequestFlow::nextDue() has come. */
+/** The time returned by Node::nextRequestDue() was reached. */
 struct RequestTimer { };
 
-/** The time of Node::nextControlDue() has come. */
+/** The time returned by Node::nextControlDue() was reached. */
 struct ControlTimer { };
 
 using Event = std::variant<RequestArrived, RefusedEarly, CallerGone, AttemptEnded, ServerNoticed, UnreadFieldSeen,
     ProbeEnded, ServerChecked, PeerMessageArrived, StoreAnswered, ItemTranslated, SeedsChanged, ChangeAsked,
     InForceAsked, StopAsked, RequestTimer, ControlTimer>;
 
-/** As it stands in log lines; of a peer's message, what it holds. */
+/** The event's name in log lines; for a peer's message, the kind of its body. */
 std::string_view nameOf(const Event& event);
 
 }
--- a/Source/Node/FactSource.h
+++ b/Source/Node/FactSource.h
@@ -4,15 +4,15 @@
 
 namespace burlreach {
 
-/** How a change of the store became known here. */
+/** How this instance learned of a change in the store. */
 enum class FactSource {
-    Store, // read or watched by this instance
-    News, // told by a watching instance unasked
-    Push, // another instance's answer to a pull
-    OwnWrite
+    Store, // this instance read or watched the store
+    News, // a gossip update of an instance that watches the store
+    Push, // sent by another instance, in answer to a pull or unsolicited
+    OwnWrite // written by this instance
 };
 
-/** As it stands in log lines. */
+/** The source's name in log lines. */
 std::string_view nameOf(FactSource source);
 
 }
--- a/Source/Node/ItemPacker.cpp
+++ b/Source/Node/ItemPacker.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Packed values that are kept: a document against each of its earlier values and by itself. */
+/** Size of the cache: a document packed against each of its kept earlier values, and without a base. */
 constexpr std::size_t PackedKept = 4;
 
 }
--- a/Source/Node/ItemPacker.h
+++ b/Source/Node/ItemPacker.h
@@ -11,21 +11,22 @@
 namespace burlreach {
 
 /**
- * Writes items of the store into messages to other instances and reads them
- * there. Large values are packed against the value that the receiver holds,
- * so a small change of a large document is a small message.
+ * Encodes items of the store into messages to other instances, and decodes them
+ * there. A large value is delta-compressed ("packed") against an earlier value,
+ * the base, that the receiver holds, so a small change of a large document makes
+ * a small message.
  */
 class ItemPacker {
 public:
     explicit ItemPacker(const StoreView& view);
 
-    /** For a receiver that is complete through this revision; 0: it holds nothing. */
+    /** Encodes for a receiver whose store view is complete through this revision; 0: it holds nothing. */
     void write(const StoreItem& item, StoreRevision heldThrough, peers::Item& message);
-    /** Nothing when the value was packed against one that is not held here, or is damaged. */
+    /** Decodes a message; nothing when the base is not held here or the value is damaged. */
     std::optional<StoreItem> read(const peers::Item& message) const;
 
 private:
-    /** A packed value is asked for by many instances in a row. */
+    /** A cached packed value: usually many instances request the same one in a row. */
     struct Packed {
         std::string key;
         StoreRevision revision = 0;
@@ -36,7 +37,7 @@
     const std::string& packed(const StoreItem& item, const StoreItem* base);
 
     const StoreView* view;
-    std::deque<Packed> recent; // the latest last
+    std::deque<Packed> recent; // newest last
 };
 
 }
--- a/Source/Node/LeavingSigns.cpp
+++ b/Source/Node/LeavingSigns.cpp
@@ -15,14 +15,14 @@
 
 void LeavingSigns::note(const std::string& backendServer, const Sign& sign, bool isHeardHere)
 {
-    // Kept also of a server that is not known at the moment: its record may come back.
+    // Notices are kept also for servers without a record, because the record may be written again.
     if (!this->book->heardLeaving(backendServer, sign.life, sign.at))
         return;
     const auto server = this->services->backendServer(backendServer);
     if (!server || server->record().life != sign.life)
         return;
     server->setLeaving();
-    // Everybody reads the record.
+    // All instances learn this from the record, so no notice needs to be sent.
     if (server->record().draining)
         return;
     this->signs[backendServer] = sign;
--- a/Source/Node/LeavingSigns.h
+++ b/Source/Node/LeavingSigns.h
@@ -14,34 +14,35 @@
 
 class ServiceTable;
 
-/** A backend server was found to be leaving. */
+/** A backend server that was found to be leaving. */
 struct LeavingServer {
     std::string backendServer;
-    bool isHeardHere = false; // in an answer; else another instance told it
+    bool isHeardHere = false; // from the server's own answer to this instance; otherwise from another instance
 };
 
 /**
- * Signs of backend servers that they are leaving, heard in their answers, told
- * to the other instances and taken from theirs. None is ever taken back: a
- * health answer may lie, and only a later life of the server may be sent
- * requests again.
+ * Collects leaving notices of backend servers, from their answers to this
+ * instance and from messages of other instances, and sends them to other
+ * instances. A notice is never revoked, because a server's health answer may be
+ * wrong: only a later life of the server may receive requests again.
  */
 class LeavingSigns {
 public:
     using Messages = google::protobuf::RepeatedPtrField<peers::LeavingSign>;
 
     struct Options {
-        Milliseconds toldFor{ 3000 }; // an older sign is not passed on any more
+        Milliseconds toldFor{ 3000 }; // older notices are no longer sent to other instances
     };
 
-    /** Both outlive this object. */
+    /** The referenced objects must outlive this one. */
     LeavingSigns(Options options, NoticeBook& book, const ServiceTable& services);
 
-    /** A server of this life said so in an answer. */
+    /** Records that the server announced in an answer that it is leaving. */
     void heard(const std::string& backendServer, std::uint64_t life, Milliseconds now);
+    /** Appends the recent notices to a message to another instance. */
     void fill(Messages& messages, Milliseconds now);
     void receive(const Messages& messages, Milliseconds now);
-    /** Those found since the last call that are in use here and whose record does not say so. */
+    /** Servers found since the last call that are in use here and whose store record is not marked as draining. */
     std::vector<LeavingServer> takeFound();
 
 private:
--- a/Source/Node/NewsExchange.cpp
+++ b/Source/Node/NewsExchange.cpp
@@ -12,16 +12,16 @@
 namespace {
 
 constexpr Milliseconds InForcePatience{ 1500 };
-/** A count of instances that others told is forgotten after this. */
+/** How long a count of instances reported by another instance is used. */
 constexpr Milliseconds CountKept{ 10000 };
-/** An origin that was not heard for so long may begin anew with any number. */
+/** After this silence, updates of another incarnation of an origin are accepted even with a lower number. */
 constexpr Milliseconds OriginSilent{ 5000 };
 constexpr std::size_t ContactsPerNews = 2;
 constexpr std::uint64_t NewsPerContacts = 4;
 constexpr std::size_t ContactsAsked = 3;
 
 constexpr unsigned MostSearchDoublings = 3;
-/** Part of a pause between searches that is drawn at random. */
+/** Maximum random extension of a pause between searches, as a fraction of the pause. */
 constexpr double SearchJitter = 0.5;
 
 std::vector<NetworkAddress> unpack(const google::protobuf::RepeatedPtrField<std::string>& packed)
@@ -35,7 +35,7 @@
     return found;
 }
 
-/** Of a message that spreads over the tree: news, or the push that follows them. */
+/** The receivers listed in a message that is sent over the tree: a gossip update, or the push that follows it. */
 google::protobuf::RepeatedPtrField<std::string>& relaysOf(peers::PeerMessage& message)
 {
     return message.has_push() ? *message.mutable_push()->mutable_relay_to()
@@ -100,7 +100,7 @@
         break;
     case peers::PeerMessage::kNews:
         this->newsReceived(message, now, actions);
-        // All were told by the one that watches.
+        // The watcher sent this to all instances, so it need not be passed on.
         this->parts.crashes->receive(message.news().crashes(), false, now, actions);
         this->parts.signs->receive(message.news().leaving_signs(), now);
         this->parts.limits->receive(message.news().limits(), true, now, actions);
@@ -127,7 +127,7 @@
     case peers::PeerMessage::kMembersPush:
         this->membersReceived(message.members_push(), now, actions);
         break;
-    default: // of other parts, or empty
+    default: // empty, or a kind that other classes handle
         this->parts.counters->add(DecisionCount::PeerMessagesRefused);
         break;
     }
@@ -166,7 +166,7 @@
     if (this->hasView || !this->parts.store->view().revision())
         return;
     this->hasView = true;
-    // The seeds are known to all that have just begun as well.
+    // Other new instances know the seeds too, and can learn from them who has a view.
     this->helloToSeeds(now, actions);
     this->helpOthers(now, actions);
 }
@@ -216,7 +216,7 @@
 {
     LastNews& last = this->lastNews[news.origin().incarnation().name()];
     const std::uint64_t life = news.origin().incarnation().number();
-    // A machine whose clock went back begins a life with a lower number.
+    // An instance whose clock was set back restarts with a lower incarnation number.
     const bool isSilent = now - last.heardAt > OriginSilent;
     const bool isEarlier = life < last.life || (life == last.life && news.number() <= last.number);
     if (isEarlier && !(isSilent && life != last.life))
@@ -234,7 +234,7 @@
         this->pulls.delivered();
     else
         this->pulls.answered();
-    // Against an earlier value that is not held here: once more, by themselves.
+    // A value was packed against a base that this instance does not hold: request it without a base.
     this->asksByThemselves = !this->parts.store->takePush(push, now, actions);
     this->pulls.reached(this->parts.store->view().revision());
     this->pull(now, actions);
@@ -274,7 +274,8 @@
 
 bool NewsExchange::introducesOthers(Milliseconds now) const
 {
-    // Where everybody watches for a moment, everybody would tell everybody of all.
+    // If all did, then whenever all instances watch for a moment, as in a store outage, each would send its member list
+    // to every other.
     return this->leads(now) || this->duty.heardWatchers(now).empty();
 }
 
@@ -316,7 +317,7 @@
     const auto from = this->pulls.next(now);
     if (!from)
         return;
-    // Whoever answers must know where this instance is.
+    // The receiver learns from the hello where to send its answer.
     this->send(addressOf(*from), this->newHello(now), actions);
     peers::PeerMessage message;
     message.mutable_pull()->set_store_revision(this->parts.store->view().revision());
@@ -351,7 +352,7 @@
     news->set_member_count(static_cast<std::uint32_t>(this->instances(now)));
     this->parts.signs->fill(*news->mutable_leaving_signs(), now);
     this->parts.limits->fill(*news->mutable_limits(), false, now);
-    // By all watchers: when the leading one is lost, 3 s pass until the next one knows that it leads.
+    // Sent by all watchers, because after the loss of the leading one it takes 3 s until the next one leads.
     this->parts.crashes->fillWithAll(*news->mutable_crashes(), now);
     const bool tellsContacts = this->newsNumber % NewsPerContacts == 0 && this->members.size();
     for (std::size_t count = 0; tellsContacts && count < ContactsPerNews; ++count) {
@@ -401,7 +402,7 @@
 
 Milliseconds NewsExchange::searchPause()
 {
-    // All that start together would meet at the seeds again and again.
+    // The random part keeps instances that start together from sending to the seeds at the same moments.
     const double doubling = std::exp2(static_cast<double>(std::min(this->searches++, MostSearchDoublings)));
     return this->options.searchInterval * doubling * (1 + SearchJitter * this->parts.random->unit());
 }
@@ -424,7 +425,7 @@
     this->nextSeeds = now + this->options.seedInterval;
     for (const NetworkAddress& seed : this->options.seeds) {
         this->send(seed, this->newHello(now), actions);
-        // Whoever looks for a watcher asks the seeds.
+        // Instances that search for a watcher ask the seeds, so the seeds must know this one.
         if (this->parts.store->isWatching())
             this->send(seed, this->newNews(0, now), actions);
     }
@@ -438,7 +439,7 @@
 {
     if (now >= this->nextHello)
         this->sayHello(now, actions);
-    // Only who watches looks for others that watch apart from it.
+    // Watchers look for other watchers that they are not connected with, such as after a network partition.
     if (now >= this->nextSeeds && this->parts.store->isWatching())
         this->helloToSeeds(now, actions);
     if (now >= this->nextStillAsking() && this->parts.store->isWatching())
@@ -464,7 +465,7 @@
 
 bool NewsExchange::shouldWatch(Milliseconds now)
 {
-    // Before the first reading there is nothing to watch from.
+    // Before the first read there is no revision to watch from.
     return this->parts.store->view().revision()
         && this->duty.shouldWatch(
             this->parts.store->isWatching(), this->parts.store->heardAt(), this->instances(now), now);
--- a/Source/Node/NewsExchange.h
+++ b/Source/Node/NewsExchange.h
@@ -23,12 +23,25 @@
 namespace burlreach {
 
 /**
- * What instances tell each other of the store.
+ * Distributes changes of the store among instances, as a gossip protocol.
  *
- * The few instances that watch the store send their news to all that asked for
- * them; those of the leading one hold the changes themselves. Everyone else
- * says hello to the watchers now and then; whoever knows none says hello to the
- * seeds of its settings, which answer with the watchers that they know.
+ * Input: messages of other instances, changes of the local store view, and
+ * timers. Output: messages to other instances, and answers to operators who ask
+ * which revision is in force where.
+ *
+ * - A few instances, the watchers (see WatchDuty), watch the store. All others
+ *   send hello messages to the watchers regularly; an instance that knows no
+ *   watcher sends them to the seeds of its settings and to some other contacts,
+ *   which reply with the watchers that they know.
+ * - After each answer of the store, a watcher sends a gossip update over a tree
+ *   of the instances that sent it a hello. Every update carries the store
+ *   revision; only the leading watcher's carry the changes, so that they are
+ *   sent once.
+ * - Large changes follow the update in a push message over the same tree.
+ * - An instance that still misses changes pulls them from the sender of the
+ *   newest update.
+ * - Instances that have no data yet are sent the whole view, collected for a
+ *   short interval and over one tree.
  */
 class NewsExchange {
 public:
@@ -36,14 +49,18 @@
         peers::Member self;
         std::vector<NetworkAddress> seeds;
         Milliseconds helloInterval{ 1200 };
-        Milliseconds searchInterval{ 250 }; // between first hellos while no watcher is known, then growing
-        Milliseconds seedInterval{ 4000 }; // watchers look for others at their seeds
+        Milliseconds searchInterval{ 250 }; // between the first hellos while no watcher is known; grows with each
+        Milliseconds seedInterval{ 4000 }; // between a watcher's hellos to its seeds, to find unknown watchers
         /**
-         * A watcher without an answer of the store tells that it still asks: later than a quiet watch ends, and 150 ms
-         * before others take their knowledge to be old.
+         * A watcher that gets no answer of the store sends an update at this interval to show that it still asks. It is
+         * longer than a watch call without changes (1.2 s), and 150 ms shorter than the age at which other instances
+         * consider their store view stale.
          */
         Milliseconds stillAskingInterval{ 1300 };
-        /** Those that have just begun are told together, over a tree: one by one, 473 take a strong link 0.7 s. */
+        /**
+         * Time in which new instances are collected before all of them are sent the view over one tree. Sent one by
+         * one, the view takes 0.7 s of a strong instance's link for 473 instances.
+         */
         Milliseconds helpInterval{ 30 };
         MemberTable::Options members;
         WatchDuty::Options duty;
@@ -64,78 +81,81 @@
     NewsExchange(Options options, Parts parts);
 
     void receive(const peers::PeerMessage& message, Milliseconds now, Actions& actions);
-    /** The store confirmed or changed what is known: everyone should hear. */
+    /** Sends a gossip update to all instances, after the store confirmed or changed the local view. */
     void spread(Milliseconds now, Actions& actions);
-    /** Something may be known here for the first time: those that know nothing should hear. */
+    /** On the first call with a store view, announces it to the seeds and sends it to instances that have none. */
     void viewChanged(Milliseconds now, Actions& actions);
-    /** Something was seen or heard here, such as a sign of leaving: the others should hear at once. */
+    /** Sends what was learned here, such as a leaving notice, to the other instances without delay. */
     void tellAtOnce(Milliseconds now, Actions& actions);
-    /** What was seen here should be heard by those that watch the store. */
+    /** Sends a hello, with what was learned here, to the instances that watch the store. */
     void tellWatchers(Milliseconds now, Actions& actions) { this->sayHello(now, actions); }
     void setSeeds(std::vector<NetworkAddress> seeds);
     void tick(Milliseconds now, Actions& actions);
     Milliseconds nextDue() const;
 
     bool shouldWatch(Milliseconds now);
-    /** Of the instances that watch this one writes to the store what the fleet keeps there. */
+    /** True for the leading watcher, which writes the fleet's shared items to the store. */
     bool leads(Milliseconds now) const { return this->parts.store->isWatching() && this->duty.leads(now); }
     bool isWatching() const { return this->parts.store->isWatching(); }
     /**
-     * The first of the instances that watch the store, unless it is this one or none was heard: the same for all that
-     * hear the same, also while the store is away.
+     * The first by rank of the instances that watch the store; nothing when it is this one or none is known. Instances
+     * that receive the same updates agree on it, also while the store is unavailable.
      */
     std::optional<peers::Member> firstOtherWatcher(Milliseconds now) const
     {
         return this->duty.firstBefore(this->isWatching(), now);
     }
-    /** The store gave no usable answer to a call from here. */
+    /** A call from this instance to the store failed. */
     void askedInVain() { this->duty.askedInVain(); }
-    /** Other instances that said hello here lately. */
+    /** Other instances that sent a hello to this one recently. */
     const std::vector<KnownMember>& knownInstances() const { return this->members.members(); }
-    /** Null when nothing was heard lately of an instance of this name. */
+    /** Null when no instance of this name was heard from recently. */
     const KnownMember* memberNamed(std::string_view name) const { return this->members.byName(name); }
-    /** Instances of the fleet, this one included, as far as it is known. */
+    /** Number of known instances in the fleet, this one included. */
     std::size_t instances(Milliseconds now) const;
-    /** Asks those who know all instances; the answer comes with takeInForce(). */
+    /** Asks a watcher for all instances and their revisions; the answer is appended as an AnswerInForce action. */
     void askMembers(OperatorCallNumber call, Milliseconds now, Actions& actions);
 
 private:
-    /** The latest news of an origin. */
+    /** Identifies the latest gossip update of an origin. */
     struct LastNews {
         std::uint64_t life = 0;
         std::uint64_t number = 0;
         Milliseconds heardAt = LongAgo;
     };
 
-    /** An operator who waits to hear what is in force where. */
+    /** An operator's pending question which revision is in force on each instance. */
     struct InForceCall {
         OperatorCallNumber call = 0;
         Milliseconds giveUp;
     };
 
     void send(const NetworkAddress& address, peers::PeerMessage message, Actions& actions) const;
-    /** Only an instance that said hello before can be answered. */
+    /** Replies to an instance whose address is known from an earlier hello; otherwise does nothing. */
     void answer(const peers::Incarnation& asker, const peers::PeerMessage& message, Actions& actions) const;
     void helloReceived(const peers::Hello& hello, Milliseconds now, Actions& actions);
     void watchersReceived(const peers::Watchers& message, Milliseconds now, Actions& actions);
     void membersReceived(const peers::MembersPush& message, Milliseconds now, Actions& actions);
-    /** True for news that are not older than what this origin told before. */
+    /** True for an update that is newer than all earlier ones of its origin. */
     bool isNewer(const peers::News& news, Milliseconds now);
     void newsReceived(const peers::PeerMessage& message, Milliseconds now, Actions& actions);
     void pushReceived(const peers::PeerMessage& message, Milliseconds now, Actions& actions);
-    /** Passes news or a push on to those that it names. */
+    /** Forwards an update or a push to the receivers that it lists. */
     void relay(const peers::PeerMessage& message, Actions& actions) const;
-    /** Whoever has found the store again may be known to nobody: the watchers introduce it to all. */
+    /**
+     * Sends the update to watchers that are not among the known members. An instance that has just regained the store
+     * may be known to nobody else; the watchers make it known to the fleet.
+     */
     void tellOtherWatchers(const peers::PeerMessage& news, Milliseconds now, Actions& actions) const;
     Milliseconds nextStillAsking() const { return this->spreadAt + this->options.stillAskingInterval; }
     void sendOver(const std::vector<NewsBranch>& branches, peers::PeerMessage message, Actions& actions) const;
-    /** The leading watcher introduces members, others only where they know no watcher. */
+    /** True when this instance sends its member list to new watchers: it leads, or knows no watcher. */
     bool introducesOthers(Milliseconds now) const;
-    /** Tells a new watcher, if it is a wanted one, of the instances that said hello here. */
+    /** Sends the known members to a new watcher, if it is one of those that this instance wants updates from. */
     void introduceMembers(const peers::Member& watcher, Milliseconds now, Actions& actions) const;
-    /** Asks for what is missing, if it is time to. */
+    /** Sends a pull for missing changes, when one is due. */
     void pull(Milliseconds now, Actions& actions);
-    /** Tells everything to all that said that they know nothing. */
+    /** Sends the whole store view to all members that have none. */
     void helpOthers(Milliseconds now, Actions& actions);
     Milliseconds searchPause();
     peers::PeerMessage newHello(Milliseconds now) const;
@@ -153,16 +173,16 @@
     PullPlan pulls;
     std::map<std::string, LastNews> lastNews; // by origin
     std::uint64_t newsNumber = 0;
-    StoreRevision spreadRevision = 0; // the receivers have at least this, but for new ones
+    StoreRevision spreadRevision = 0; // of the last update; all receivers but new ones have at least this
     std::size_t toldInstances = 1;
     Milliseconds toldInstancesAt = LongAgo;
     Milliseconds nextHello = LongAgo;
     Milliseconds nextSeeds = LongAgo;
     Milliseconds spreadAt = LongAgo;
-    bool hasView = false; // something is known here
-    Milliseconds helpAt = Never; // others know nothing
-    unsigned searches = 0; // in a row without a watcher
-    bool asksByThemselves = false; // the last push held values that could not be unpacked
+    bool hasView = false; // the first store view was announced
+    Milliseconds helpAt = Never; // when to send the view to instances that have none
+    unsigned searches = 0; // consecutive searches that found no watcher
+    bool asksByThemselves = false; // request values not packed against a base: the last push could not be unpacked
     std::vector<InForceCall> inForceCalls;
 };
 
--- a/Source/Node/NewsRecords.h
+++ b/Source/Node/NewsRecords.h
@@ -8,9 +8,9 @@
 
 namespace burlreach {
 
-/** News of changes that came after a gap, or without the large ones. */
+/** Logs a gossip update whose changes are incomplete: earlier changes or large ones are missing. */
 DecisionRecord recordOfIncomplete(const peers::News& news, const StoreKeeper& store, Milliseconds now);
-/** A push that was sent to the other instance, or taken from it. */
+/** Logs a push sent to, or received from, the other instance. */
 DecisionRecord recordOfPush(
     std::string_view event, const peers::Incarnation& other, const peers::Push& push, const StoreKeeper& store);
 
--- a/Source/Node/Node.cpp
+++ b/Source/Node/Node.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/** Without news of the store for so long this instance tells that it is not sure of them any more. */
+/** A copy of the store that was not confirmed for this long is logged and counted as stale. */
 constexpr Milliseconds StaleSpell{ 3000 };
 
-/** Of changes heard at once; of more, as in a first reading, one line tells how many backend servers came. */
+/** For a larger batch, such as the first read of the store, one summary line replaces the lines per item. */
 constexpr std::size_t MostLinesAtOnce = 50;
 
 }
@@ -128,7 +128,7 @@
     this->decisionCounters.add(DecisionCount::PausesAsked);
     actions.emplace_back(beliefOf("pause_asked", event.backendServer).with("lasts", event.notice.pause.count));
     actions.emplace_back(StopSendingTo{ .backendServer = event.backendServer, .keepsConnections = true });
-    // Those that wait for this server alone may have to be refused.
+    // Requests for which this was the only usable server may now have to be refused.
     this->flow.capacityChanged(now, actions);
 }
 
@@ -174,12 +174,12 @@
         actions.emplace_back(beliefOf("leaving_sign", server.backendServer)
                                  .with("heard_from", server.isHeardHere ? "server" : "news")
                                  .with("confirmed_age", (now - this->store.confirmedAt()).count));
-        // What was chosen before and is not yet written goes elsewhere.
+        // Attempts that were assigned to this server but not yet written are sent to another one.
         actions.emplace_back(StopSendingTo{ .backendServer = server.backendServer });
     }
     if (isHeardHere || this->store.isWatching())
         this->news.tellAtOnce(now, actions);
-    // Those that wait for one of them would wait in vain.
+    // Requests that wait for one of these servers need another server or must be refused.
     this->flow.capacityChanged(now, actions);
 }
 
@@ -255,7 +255,7 @@
 
 void Node::dispatch(const StopAsked&, Milliseconds now, Actions& actions)
 {
-    // What still runs here must not act on old knowledge: all else goes on.
+    // Only new requests stop: requests still running here must not act on stale data, so store updates continue.
     this->stopping = true;
     this->askStore(now, actions);
 }
@@ -302,7 +302,7 @@
     }
     if (this->crashes.takeChanged())
         this->crashRecorder.changed(now);
-    // Before the first reading nobody knows what the store holds.
+    // Until the store was first read, its current value of this item is unknown and must not be overwritten.
     if (!this->crashRecorder.isDue(now) || !this->store.view().revision())
         return;
     auto request = this->crashRecorder.next(
@@ -318,7 +318,7 @@
     if (const auto kept = readKeptCrashes(item.value))
         return this->crashes.takeKept(*kept, now, actions);
     actions.emplace_back(beliefOf("item_unreadable", item.key)
-                             .with("problem", "was not written by an instance; it is written anew")
+                             .with("problem", "value was not written by an instance; it will be overwritten")
                              .with("revision", item.revision));
 }
 
@@ -394,7 +394,7 @@
                                  .with("problem", finding.message)
                                  .with("revision", item.revision));
     }
-    // A later small one may have overtaken a large one.
+    // Large items are translated asynchronously, so a later small one may already have been applied.
     const bool isOvertaken = item.routing && item.revision < this->routingRevision;
     if (item.routing && !isOvertaken)
         this->adoptRouting(item, now, actions);
@@ -436,7 +436,7 @@
                                  .with("confirmed_age", (now - this->store.confirmedAt()).count));
         if (!order.emptied)
             continue;
-        // What is just being connected there goes elsewhere.
+        // Attempts that are still connecting to this data centre are sent elsewhere.
         for (const std::string& id : this->services.backendServersIn(order.dataCentre))
             actions.emplace_back(StopSendingTo{ .backendServer = id });
     }
@@ -456,7 +456,7 @@
 
 DecisionRecord Node::backendServerChanged(const BackendServerChange& change, Milliseconds now, Actions& actions)
 {
-    // Connections to an earlier life are as dead as those to one that is gone.
+    // A restart closes existing connections just as a removal does.
     const bool isOver = change.kind == BackendServerChange::Kind::Gone
         || change.kind == BackendServerChange::Kind::Unusable || change.kind == BackendServerChange::Kind::Restarted;
     if (isOver) {
@@ -478,7 +478,8 @@
 
 bool Node::isReady() const
 {
-    // A change that was told by itself may lack others, such as that a data centre is emptied.
+    // The store view must be complete: a change received on its own may arrive before others, such as an order that
+    // empties a data centre.
     return !this->stopping && this->services.isConfigured() && this->store.view().revision();
 }
 
--- a/Source/Node/Node.h
+++ b/Source/Node/Node.h
@@ -29,28 +29,32 @@
 namespace burlreach {
 
 /**
- * All decisions of one instance. Events go in together with the time, actions
- * come out; there is no socket, thread, clock or file inside. The daemon, the
- * tests, the fault matrix and the benchmarks drive the same object.
+ * Makes all decisions of one instance.
  *
- * Requests: RequestFlow. What the store says: StoreKeeper, translated into
- * ServiceTable. What instances tell each other: NewsExchange.
+ * handle() takes an event and the current time and appends the resulting
+ * actions. Node itself uses no socket, thread, clock or file, so the daemon, the
+ * tests, the fault matrix and the benchmarks can all drive it.
+ *
+ * RequestFlow handles requests. StoreKeeper holds a copy of the store's items,
+ * which are translated into the ServiceTable. NewsExchange sends and receives
+ * the gossip updates that instances share.
  */
 class Node final : private StoreListener, private ChangeListener {
 public:
     struct Options {
         std::string name;
         std::string dataCentre;
-        std::uint32_t capacity = 0; // its share of a processor, in percent; 0: not known
+        std::uint32_t capacity
+            = 0; // processor time available to this instance, in percent of one processor; 0: unknown
         NetworkAddress peersAddress;
-        std::uint64_t incarnation = 0; // higher than in every earlier life of this name
+        std::uint64_t incarnation = 0; // increases with each start of the instance of this name
         std::uint64_t seed = 0;
-        std::vector<NetworkAddress> seeds; // instances to begin with
+        std::vector<NetworkAddress> seeds; // instances to contact at start, to join the fleet
         RetryLimits retries;
         QuotaBound quotas;
-        double probesPerSecond = 30; // of one backend server, all instances together
-        StoreReader::Options store; // the prefix comes from the translator
-        std::string changeKey; // of the document that operators' calls change; empty: they may not
+        double probesPerSecond = 30; // to one backend server, from all instances together
+        StoreReader::Options store; // `prefix` is overwritten with the translator's
+        std::string changeKey; // store key of the document that operators' calls change; empty: calls are refused
         std::shared_ptr<const FactTranslator> translator; // never null
         std::shared_ptr<const PolicyFactory> policies; // null: the default policy
         RequestFlow::Options requests;
@@ -58,14 +62,14 @@
 
     explicit Node(const Options& options);
 
-    /** Appends what is to be done because of the event. */
+    /** Processes the event and appends the actions to perform. */
     void handle(const Event& event, Milliseconds now, Actions& actions);
 
-    /** When a RequestTimer or a ControlTimer is needed next. */
+    /** When the next RequestTimer or ControlTimer event is due. */
     Milliseconds nextRequestDue(Milliseconds now) const { return this->flow.nextDue(now); }
     Milliseconds nextControlDue() const;
 
-    /** True while new requests should be sent to this instance. */
+    /** True while callers should send new requests to this instance. */
     bool isReady() const;
     bool isStopping() const { return this->stopping; }
     bool isWatching() const { return this->store.isWatching(); }
@@ -88,11 +92,11 @@
     {
         return this->rollouts.show(service, now);
     }
-    /** How much credit for customers' requests this instance grants. */
+    /** Whether, and under which rules, this instance grants credit for customers' requests. */
     GrantMode grantMode(Milliseconds now) const { return this->quotas.mode(now); }
-    /** This instance grants permits for requests to backend servers with a limit. */
+    /** True when this instance grants the permits for requests to backend servers that have a request limit. */
     bool grantsPermits(Milliseconds now) const { return this->news.isWatching() && !this->news.firstOtherWatcher(now); }
-    /** Requests under which servers ended. */
+    /** Number of requests during which backend servers crashed. */
     std::size_t suspectedRequests() const { return this->crashes.size(); }
 
 private:
@@ -117,29 +121,29 @@
     void itemsChanged(
         std::span<const StoreItem> changes, FactSource source, Milliseconds now, Actions& actions) override;
     void changeAnswered(OperatorCallNumber call, const v1::ChangeAnswer& answer) override;
-    /** The answer as it may be kept here and passed on. */
+    /** A copy of the answer with secrets replaced by digests, which may be kept and sent to other instances. */
     StoreAnswer withoutSecrets(const StoreAnswer& answer) const;
-    /** Brings what an item says into force. */
+    /** Applies the facts of a store item to this instance. */
     void adopt(const TranslatedItem& item, Milliseconds now, Actions& actions);
     void adoptRouting(const TranslatedItem& item, Milliseconds now, Actions& actions);
     void adoptBackendServers(const TranslatedItem& item, Milliseconds now, Actions& actions);
     void adoptDataCentres(const TranslatedItem& item, Milliseconds now, Actions& actions);
-    /** Does what follows from the change; gives its record. */
+    /** Drops state and connections that the change makes invalid; returns the change's log record. */
     DecisionRecord backendServerChanged(const BackendServerChange& change, Milliseconds now, Actions& actions);
     void askStore(Milliseconds now, Actions& actions);
-    /** Tells others and the store what was learned of requests that crash servers. */
+    /** Sends new evidence about requests that crash servers to other instances and to the store. */
     void passOnCrashes(Milliseconds now, Actions& actions);
     void takeKeptCrashes(const StoreItem& item, Milliseconds now, Actions& actions);
     void noteStaleness(Milliseconds now, Actions& actions);
     void noteWatching(Actions& actions);
-    /** Stops what is on its way to servers that were found to be leaving, and tells others. */
+    /** Stops unsent attempts to servers newly found to be leaving, and notifies other instances. */
     void passOnLeaving(Milliseconds now, Actions& actions);
-    /** Tells others of limits that servers named, and goes on with requests that waited for permits. */
+    /** Sends limits named by servers to other instances, and continues requests that waited for permits. */
     void passOnLimits(Milliseconds now, Actions& actions);
 
     Options options;
     bool stopping = false;
-    StoreRevision routingRevision = 0; // of the item that holds the configuration in force
+    StoreRevision routingRevision = 0; // of the store item with the configuration in force
     Random random;
     DecisionCounters decisionCounters;
     StoreCallNumbers storeCalls;
@@ -159,8 +163,8 @@
     ProbeDesk probes;
     RequestFlow flow;
     ChangeCoordinator changes;
-    std::vector<AnswerChange> changeAnswers; // to be given after the event
-    bool hearsMany = false; // items are being adopted that are too many for a line each
+    std::vector<AnswerChange> changeAnswers; // appended to the actions at the end of the event
+    bool hearsMany = false; // the items being applied are too many to log one line each
     bool wasWatching = false;
     bool wasStale = true;
 };
--- a/Source/Node/NodeParts.cpp
+++ b/Source/Node/NodeParts.cpp
@@ -14,9 +14,11 @@
 };
 
 /**
- * All that begin together need not read the store at once, since those that
- * have read tell the others. Strong instances read first and tell quickly: with
- * a tenth of a processor within a second, a fifth 250 ms, a half 40 ms.
+ * Upper bound of the random delay before the first store read. When many
+ * instances start together, the first to read send the data to the others,
+ * which then need not read. Instances with more processor time read first
+ * because they distribute it faster: the bound is 1 s with a tenth of a
+ * processor, 250 ms with a fifth and 40 ms with a half.
  */
 Milliseconds firstReadingSpread(std::uint32_t capacity)
 {
--- a/Source/Node/NodeParts.h
+++ b/Source/Node/NodeParts.h
@@ -6,10 +6,10 @@
 
 namespace burlreach {
 
-// Options of a node's parts, as they follow from its own.
+// Derive the options of a node's components from the node's own options.
 
 std::shared_ptr<const PolicyFactory> policiesOf(const Node::Options& options);
-/** The instance as it describes itself to others. */
+/** The description of this instance that it sends to others. */
 peers::Member memberOf(const Node::Options& options);
 StoreReader::Options readerOf(const Node::Options& options);
 RequestFlow::Options flowOf(const Node::Options& options);
--- a/Source/Node/PeerEnvelope.h
+++ b/Source/Node/PeerEnvelope.h
@@ -4,7 +4,7 @@
 
 namespace burlreach {
 
-/** A message of this instance to the one at the address. */
+/** Wraps the message with the protocol version and its sender, for delivery to the address. */
 SendToPeer addressedTo(const NetworkAddress& address, const peers::Incarnation& from, peers::PeerMessage message);
 
 }
--- a/Source/Node/PolicyFactory.h
+++ b/Source/Node/PolicyFactory.h
@@ -7,7 +7,7 @@
 
 namespace burlreach {
 
-/** Gives each service its routing policy; benchmarks put baselines here. */
+/** Creates the routing policy of each service; benchmarks supply baseline policies to compare with. */
 class PolicyFactory {
 public:
     virtual ~PolicyFactory() = default;
--- a/Source/Node/ServiceState.cpp
+++ b/Source/Node/ServiceState.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** Of a route's target latency, while no answer has been seen. */
+/** Assumed response time before the first answer, as a fraction of the route's target latency. */
 constexpr double GuessedShare = 0.4;
 constexpr double SampleShare = 0.05;
 
--- a/Source/Node/ServiceState.h
+++ b/Source/Node/ServiceState.h
@@ -15,34 +15,37 @@
 
 namespace burlreach {
 
-/** How many instances share what a fleet may do. */
+/** Number of instances among which limits of the whole fleet are divided. */
 struct FleetCount {
-    std::size_t known = 1; // heard of lately
-    std::optional<std::size_t> atLeast; // for bounds that hold from the first moment on; nothing while it is not known
+    std::size_t known = 1; // instances known at present
+    std::optional<std::size_t> atLeast; // lower bound, for limits that must hold also at start; nothing while unknown
 
     bool operator==(const FleetCount&) const = default;
 };
 
-/** All that this instance knows and holds for one service. */
+/** The state of one service on this instance. */
 struct ServiceState {
     ServiceState(std::unique_ptr<RoutingPolicy> policy, ServicePool::Options poolOptions, const RetryLimits& limits);
 
     void configure(const ServiceDescription& description, const FleetCount& fleet);
-    /** The mean time to answer of a route's requests; a guess from its target while none is known. */
+    /** Mean response time of the route; estimated from its target latency before the first answer. */
     Milliseconds expectedTime(const Route& route) const;
     void answered(const Route& route, Milliseconds took);
-    /** The mean time to answer at servers that had room and were not slow; a guess while none is known. */
+    /** Mean response time of servers with free slots that were not slow; estimated as above before the first answer. */
     Milliseconds usualTime(const Route& route) const;
     void answeredUnhindered(const Route& route, Milliseconds took);
-    /** How long a caller that brings so much time has been trying before. */
+    /** Estimates how long a caller with this much time left has already been retrying. */
     Milliseconds spentBefore(const Route& route, Milliseconds timeLeft);
 
     ServiceDescription description;
     ServicePool pool;
     WaitingQueue queue;
-    double targetTurn = 0; // reaches 1 when the next request is for the version that is tried
+    double targetTurn = 0; // at 1, the next request goes to the version under rollout
     RetryBudget retryBudget;
-    /** Late callers that go with the others; a larger share takes more from those that can be in time. */
+    /**
+     * Late callers that are queued as if they were on time, so that none waits for ever. A larger share would delay
+     * more of the callers that can still be answered in time.
+     */
     TokenShare lateAsFresh{ { .share = 0.02, .most = 2 } };
 
 private:
--- a/Source/Node/ServiceTable.cpp
+++ b/Source/Node/ServiceTable.cpp
@@ -61,7 +61,7 @@
 
 void ServiceTable::forgetTurns()
 {
-    // Few routes have turns, many routes may be there.
+    // Searches the routes for each turn, because few of the possibly many routes have several services.
     std::erase_if(this->turns, [&](const auto& item) {
         const auto& routes = this->current().routes;
         return std::none_of(routes.begin(), routes.end(),
@@ -81,7 +81,7 @@
 void ServiceTable::put(const BackendServerRecord& record, Milliseconds now, std::vector<BackendServerChange>& changes)
 {
     const auto [known, isNew] = this->records.emplace(record.id, record);
-    // Written late by a process that has ended: the newer life is the one that runs.
+    // A late write of an earlier process; the process of the higher life is the one that runs.
     if (record.life < known->second.life)
         return;
     this->lapsed.erase(record.id);
@@ -99,7 +99,7 @@
 {
     const auto server = service.pool.put(record, now);
     server->setEmptied(this->emptied.contains(record.dataCentre));
-    // What it said outlives its record, which may have been gone for a moment.
+    // The server's notices and limit outlive its record, which may have been missing for a moment.
     const auto* limit = this->options.limits ? this->options.limits->find(record.id, record.life) : nullptr;
     if (limit && limit->perSecond)
         server->permits().limit(limit->at);
@@ -124,7 +124,7 @@
             if (server->record().dataCentre != order.dataCentre)
                 continue;
             server->setEmptied(order.emptied);
-            // They had nothing to do for a while; what they say themselves of it comes later.
+            // Servers that were idle start cold; a later answer with the server's own estimate replaces this one.
             if (!order.emptied && cold.count > 0)
                 server->coldFor(cold, now);
         }
@@ -240,7 +240,7 @@
 
 void ServiceTable::sent(const Route& route, const std::string& service)
 {
-    // A request may be sent by the route as it was when it came.
+    // The request may still use an earlier version of the route, with other weights.
     const auto turn = this->turns.find(route.name);
     if (turn != this->turns.end() && turn->second.isFor(route.services))
         turn->second.sent(service);
--- a/Source/Node/ServiceTable.h
+++ b/Source/Node/ServiceTable.h
@@ -29,20 +29,20 @@
     struct Options {
         std::shared_ptr<const PolicyFactory> policies;
         RetryLimits retries;
-        const NoticeBook* notices = nullptr; // outlives the table
-        const LimitBook* limits = nullptr; // as well
+        const NoticeBook* notices = nullptr; // must outlive the table
+        const LimitBook* limits = nullptr; // must outlive the table
     };
 
     ServiceTable(Options options, Random& random);
 
     void setRouting(std::shared_ptr<const PreparedRouting> next);
-    /** Records that are gone are kept until this time as lapsed, unless it has passed. */
+    /** Applies changed records. A removed record is kept as lapsed until `lapsesUntil`, if that is in the future. */
     std::vector<BackendServerChange> setBackendServers(const Facts& facts, Milliseconds lapsesUntil, Milliseconds now);
-    /** Takes those as gone that lapsed and did not come back in time. */
+    /** Removes lapsed records that were not written again in time. */
     std::vector<BackendServerChange> endLapses(Milliseconds now);
-    /** When endLapses() has something to do; Never when nothing lapsed. */
+    /** When the next lapsed record is due for endLapses(); Never when there is none. */
     Milliseconds nextLapseEnd() const;
-    /** Those that are new to this instance. */
+    /** Applies orders to empty data centres or to use them again; returns those that changed something. */
     std::vector<DataCentreOrder> setDataCentres(const Facts& facts, Milliseconds now);
     void setInstances(const FleetCount& count);
 
@@ -52,32 +52,38 @@
     const RoutingConfiguration& current() const { return this->routing->configuration; }
     const CustomerTable& customers() const { return this->routing->customers; }
     bool hasLimitedCustomers() const { return this->hasLimits; }
-    /** Of the configuration in force on this instance; another one has a higher number. */
+    /** Counts the configurations applied on this instance, so it identifies the one in force. */
     std::uint64_t routingNumber() const { return this->routingCount; }
     std::shared_ptr<const Route> route(std::string_view host, std::string_view method, std::string_view path) const;
-    /** The service that the next request of the route goes to; null when the route names an unknown one. */
+    /**
+     * The service for the route's next request, chosen by weight when the route has several; null when the service
+     * is unknown.
+     */
     std::shared_ptr<ServiceState> serviceFor(const Route& route);
-    /** A request of the route was sent to the service that serviceFor() gave. */
+    /** Records that a request of the route was sent to the service that serviceFor() returned. */
     void sent(const Route& route, const std::string& service);
     std::shared_ptr<ServiceState> byName(std::string_view name) const;
     std::shared_ptr<BackendServerState> backendServer(std::string_view id) const;
     std::size_t backendServers() const { return this->records.size(); }
-    /** Data centres that have backend servers. */
+    /** Number of data centres that have backend servers. */
     std::size_t dataCentres() const;
-    /** Ids. */
+    /** Ids of the backend servers in the data centre. */
     std::vector<std::string> backendServersIn(std::string_view dataCentre) const;
     const std::set<std::string>& emptiedDataCentres() const { return this->emptied; }
     std::span<const std::shared_ptr<ServiceState>> all() const { return this->services; }
 
 private:
-    /** Those of routes that are no longer there or are divided otherwise: what was owed before counts no more. */
+    /** Drops the weighted-selection state of routes that were removed or whose weights changed. */
     void forgetTurns();
     void put(const BackendServerRecord& record, Milliseconds now, std::vector<BackendServerChange>& changes);
-    /** Adds the record to its service's pool, as its data centre is to be used. */
+    /**
+     * Adds or updates the record in its service's pool, and applies to it what is known apart from the record: an
+     * emptied data centre, and the server's own notices and limit.
+     */
     void putIn(ServiceState& service, const BackendServerRecord& record, Milliseconds now) const;
     void order(const DataCentreOrder& order, Milliseconds now, std::vector<DataCentreOrder>& changes);
     void remove(const std::string& id, BackendServerChange::Kind kind, std::vector<BackendServerChange>& changes);
-    /** True when the record may have lapsed only; it is then kept for a while. */
+    /** True when the removed record is kept as lapsed, because its lease may just have expired in a store outage. */
     bool lapse(const std::string& id, Milliseconds until, Milliseconds now, std::vector<BackendServerChange>& changes);
 
     Options options;
@@ -90,9 +96,9 @@
     std::vector<std::shared_ptr<ServiceState>> services;
     std::unordered_map<std::string, std::shared_ptr<ServiceState>> byNames;
     std::map<std::string, BackendServerRecord, std::less<>> records;
-    std::unordered_map<std::string, WeightedTurn> turns; // by route
+    std::unordered_map<std::string, WeightedTurn> turns; // weighted selection of a service, by route
     std::set<std::string> emptied; // data centres
-    std::map<std::string, Milliseconds> lapsed; // until when the record may come back, by id
+    std::map<std::string, Milliseconds> lapsed; // until when the removed record is kept, by id
 };
 
 }
--- a/Source/Node/StoreKeeper.cpp
+++ b/Source/Node/StoreKeeper.cpp
@@ -9,22 +9,27 @@
 
 namespace {
 
-/** Without a word for longer the store was away: whoever hears nothing asks it within 1.7 s. */
+/**
+ * Without confirmation for longer than this the store counts as unavailable. An instance that receives no updates calls
+ * the store itself within 1.7 s.
+ */
 constexpr Milliseconds AwayAfter{ 2500 };
 /**
- * By then the records of living backend servers are back: the users' figure.
- * Shorter than the 3 s after trouble in which an instance need not know yet.
+ * How long after a store outage removed records are kept. According to the users
+ * of burlreach, running backend servers have written their records again by
+ * then. It is shorter than the 3 s within which an instance must be current after
+ * a failure.
  */
 constexpr Milliseconds LapsedKept{ 2000 };
-/** On the way from one instance to another. */
+/** Assumed network latency from one instance to another. */
 constexpr Milliseconds Transit{ 2 };
 /**
- * Of changes within news: at each step of the tree a slow link takes them up to
- * 8 times, which is 0.1 s at 10 Mbit/s.
+ * Maximum size of the changes in a gossip update. At each step of the tree an
+ * instance sends them up to 8 times, which takes 0.1 s on a link of 10 Mbit/s.
  */
 constexpr std::size_t MostNewsBytes = 16384;
 
-/** Shorter lists are sent as they are. */
+/** Shorter lists of items are sent uncompressed. */
 constexpr std::size_t LeastPackedBytes = 4096;
 
 std::size_t bytesOf(const peers::News& news)
@@ -98,7 +103,7 @@
             continue;
         }
         areAllRead = false;
-        // Asked for again by whoever handed them here; the base may just not be held any more.
+        // The caller requests the value again; this instance may simply no longer hold the base.
         actions.emplace_back(beliefOf("value_not_unpacked", message.key())
                                  .with("revision", message.revision())
                                  .with("packed_against", message.base_revision())
@@ -113,7 +118,8 @@
         const bool isGapless = news.base_revision() && news.base_revision() <= this->storeView.revision();
         bool isComplete = isGapless && !news.large_changes_follow();
         const std::vector<StoreItem> items = this->itemsOf(news.changes(), isComplete, actions);
-        // A change counts at once, whatever is missing before it: a leaving server does not wait for a document.
+        // Changes are applied even when earlier ones are missing, so that a server's leaving takes effect without
+        // waiting for a large document.
         const StoreRevision through = isComplete ? news.store_revision() : this->storeView.revision();
         this->tell(this->storeView.applyChanges(items, through), FactSource::News, now, actions);
         if (!isComplete)
@@ -134,7 +140,7 @@
 
 Milliseconds StoreKeeper::lapsesUntil(Milliseconds now) const
 {
-    // What is heard first after the silence is applied before it is confirmed.
+    // The first changes after an outage are applied before the view is confirmed, so the outage may not have ended yet.
     return (this->isAway(now) ? now : this->returnedAt) + LapsedKept;
 }
 
@@ -246,7 +252,7 @@
     auto& items = *news.mutable_changes();
     items.erase(std::remove_if(items.begin(), items.end(), [](const peers::Item& item) { return item.is_packed(); }),
         items.end());
-    // Very many small changes at once: all of them follow.
+    // Too many small changes for one update: all of them follow in the push.
     if (bytesOf(news) > MostNewsBytes)
         items.Clear();
 }
--- a/Source/Node/StoreKeeper.h
+++ b/Source/Node/StoreKeeper.h
@@ -15,7 +15,7 @@
 
 namespace burlreach {
 
-/** Hears of changed items, in whatever way they became known. */
+/** Is notified of changed items, whichever way this instance learned of them. */
 class StoreListener {
 public:
     virtual ~StoreListener() = default;
@@ -24,49 +24,52 @@
 };
 
 /**
- * Keeps this instance's view of the store, and since when it is known to be
- * current, whether the news came from the store or from another instance.
+ * Maintains this instance's view of the store from the store's answers, gossip
+ * updates, pushes and its own writes, and tracks when the view was last
+ * confirmed to be current.
  */
 class StoreKeeper {
 public:
     StoreKeeper(StoreReader::Options options, StoreListener& listener, StoreCallNumbers& numbers, Random& random,
         DecisionCounters& counters);
 
-    /** Asks the store when it is time to. */
+    /** Calls the store when a call is due. */
     void ask(bool shouldWatch, Milliseconds now, Actions& actions);
     /** True when the store confirmed or changed the view. */
     bool answered(const StoreAnswer& answer, Milliseconds now, Actions& actions);
 
-    /** False when changes in between are missing here: they must be pulled. */
+    /** Applies a gossip update; false when other changes up to its revision are missing and must be pulled. */
     bool takeNews(const peers::News& news, Milliseconds now, Actions& actions);
-    /** An item that was just written from here; other changes up to it may still be unknown. */
+    /** Applies an item that this instance just wrote. Changes of other items up to its revision may be missing. */
     void takeWritten(const StoreItem& item, Milliseconds now, Actions& actions);
-    /** False when a value in it could not be unpacked, or all of it. */
+    /** Applies a push; false when the push, or a value in it, could not be unpacked. */
     bool takePush(const peers::Push& push, Milliseconds now, Actions& actions);
-    /** What an instance that is complete through this revision is missing; everything when that is no longer known. */
+    /** The changes since the pull's revision, or the whole view when they are no longer known one by one. */
     peers::Push pushFor(const peers::Pull& pull);
-    /** Everything, for whoever knows nothing. */
+    /** The whole view, for an instance that has none. */
     peers::Push pushOfEverything();
     /**
-     * The changes since a revision, for news; the base is 0 when they are no
-     * longer known. Large ones that stay large when packed are left out, and
-     * the news say that they follow.
+     * Fills a gossip update with the revision, its age and the changes since the
+     * given revision. The base revision stays 0 when `since` is 0 or the changes
+     * are no longer known. Changes that are large even when packed are left out,
+     * and the update announces that they follow in a push.
      */
     void fill(peers::News& news, StoreRevision since, Milliseconds now);
-    /** The push that follows such news. */
+    /** The push that follows an update that left out large changes. */
     peers::Push pushAfterNews(const peers::News& news);
 
     const StoreView& view() const { return this->storeView; }
-    /** The view was current at this time. */
+    /** The latest time at which the view is known to have been current. */
     Milliseconds confirmedAt() const { return this->confirmed; }
-    /** When it was confirmed last, or read as it was some seconds before. */
+    /** When the view was last confirmed, or read completely from a source that may lag by some seconds. */
     Milliseconds heardAt() const { return std::max(this->confirmed, this->readAt); }
     /**
-     * Until when a record that is missing may come back, since it may have
-     * lapsed only while the store was away; before now when it was not away.
+     * Until when a removed record is kept, because its lease may have expired
+     * only since its server could not renew it while the store was unavailable.
+     * Earlier than now when there was no recent outage.
      */
     Milliseconds lapsesUntil(Milliseconds now) const;
-    /** The last call brought no usable answer. */
+    /** True when the last call to the store failed. */
     bool hasFailed() const { return this->failuresInARow > 0; }
     bool isWatching() const { return this->reader.isWatching(); }
     bool isAsking() const { return this->reader.isAsking(); }
@@ -74,25 +77,25 @@
 
 private:
     void noteStore(const StoreAnswer& answer, bool isFailure, Milliseconds now, Actions& actions);
-    /** Those that can be read; the flag is cleared, and a record made, when one cannot. */
+    /** Decodes the items. Clears the flag and logs a record for each item that cannot be decoded. */
     std::vector<StoreItem> itemsOf(
         const google::protobuf::RepeatedPtrField<peers::Item>& messages, bool& areAllRead, Actions& actions) const;
-    /** Packs a long list of items as a whole: records are alike, 719 of them become a fifth of their size. */
+    /** Compresses a long list of items as a whole: records are similar, so 719 of them shrink to a fifth. */
     static void pack(peers::Push& push);
     void noteConfirmed(Milliseconds at, Milliseconds now);
-    /** Nothing was heard of the store for too long; false before the first word. */
+    /** True when the view was not confirmed for too long; false before the first confirmation. */
     bool isAway(Milliseconds now) const;
     void tell(const std::vector<StoreItem>& changes, FactSource source, Milliseconds now, Actions& actions);
 
     StoreView storeView;
     ItemPacker packer{ this->storeView };
-    peers::Push everything; // as last packed: it is asked for by many in a row
+    peers::Push everything; // cache of pushOfEverything(): usually many instances request it in a row
     StoreReader reader;
     StoreListener* listener;
     DecisionCounters* counters;
     Milliseconds confirmed = LongAgo;
-    Milliseconds readAt = LongAgo; // a reading ended that may have been stale
-    Milliseconds returnedAt = LongAgo; // first heard of after it was away
+    Milliseconds readAt = LongAgo; // when the whole view was last read or received, possibly some seconds old
+    Milliseconds returnedAt = LongAgo; // first confirmation after the latest outage of the store
     bool storeAnswers = true;
     unsigned failuresInARow = 0;
 };
--- a/Source/Node/TranslatedItem.h
+++ b/Source/Node/TranslatedItem.h
@@ -12,24 +12,27 @@
 
 namespace burlreach {
 
-/** A configuration with its routes and keys made ready to be searched; never changed afterwards. */
+/** A configuration with lookup tables for its routes and customers; immutable once built. */
 struct PreparedRouting {
     RoutingConfiguration configuration;
     RouteTable routes;
     CustomerTable customers;
 };
 
-/** What a changed item of the store says, ready to come into force. */
+/** A changed item of the store, translated and ready to be applied. */
 struct TranslatedItem {
     std::string key;
     StoreRevision revision = 0;
-    std::size_t bytes = 0; // of its value
+    std::size_t bytes = 0; // size of the item's value
     FactSource source = FactSource::Store;
-    Facts facts; // without the configuration, which is in the routing
+    Facts facts; // without the configuration, which is in `routing`
     std::shared_ptr<const PreparedRouting> routing; // null when the item holds no configuration
 };
 
-/** Reads the item. For a large one this takes longer than requests should wait; it touches nothing else. */
+/**
+ * Translates the item. For a large one this takes longer than requests should wait; it uses no shared state, so it may
+ * run outside the node.
+ */
 std::shared_ptr<const TranslatedItem> translateItem(
     const FactTranslator& translator, const StoreItem& item, FactSource source);
 
