--- a/Tests/Node/EmptiedDataCentreTest.cpp
+++ b/Tests/Node/EmptiedDataCentreTest.cpp
@@ -16,21 +16,21 @@
 constexpr std::size_t Servers = 6;
 constexpr Milliseconds Patience{ 2000 };
 constexpr Milliseconds Gap{ 10 };
-/** A round of news, with the way there and back. */
+/** Time for a gossip update to reach all instances, with the network round trip. */
 constexpr Milliseconds NewsRound{ 60 };
 
-/** What happens just before a data centre is emptied. */
+/** An event just before a data centre is emptied. */
 struct Case {
     const char* name;
     std::function<void(VirtualFleet&)> before;
-    Milliseconds bound; // then no instance sends anything there
+    Milliseconds bound; // after it, no instance may send a request to the data centre
 };
 
 const std::vector<Case> Cases{
     { "nothing", [](VirtualFleet&) {}, NewsRound },
-    { "the store turns an instance away", [](VirtualFleet& fleet) { fleet.theStore().setTurnedAway("entry-4", true); },
+    { "the store rejects an instance", [](VirtualFleet& fleet) { fleet.theStore().setTurnedAway("entry-4", true); },
         NewsRound },
-    { "an instance begins just then",
+    { "an instance restarts",
         [](VirtualFleet& fleet) {
             fleet.kill(3);
             fleet.start(3);
@@ -40,7 +40,7 @@
     { "the store forgets its history", [](VirtualFleet& fleet) { fleet.theStore().forgetHistory(); }, NewsRound },
 };
 
-/** A fleet under load whose servers stand in dc-1, dc-2 and dc-3 by turns. */
+/** A fleet under load whose servers are placed in dc-1, dc-2 and dc-3 in turn. */
 class LoadedFleet {
 public:
     LoadedFleet()
@@ -53,7 +53,7 @@
         this->load({ 1500 });
     }
 
-    /** Operators empty just these data centres. */
+    /** Writes a configuration in which just these data centres are emptied. */
     void write(const std::vector<std::string>& emptied)
     {
         v1::Configuration configuration = virtualConfiguration(this->fleet.serverIds(), ++this->revision);
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Attempts after this time at the servers of dc-2, which are s1 and s4. */
+    /** Number of attempts after this time at the servers of dc-2, which are s1 and s4. */
     std::size_t sentThereAfter(Milliseconds from) const
     {
         const auto& sent = this->fleet.sentAttempts();
@@ -121,7 +121,7 @@
 TEST(EmptiedDataCentre, WhatIsUnderWayThereEndsAsUsual)
 {
     LoadedFleet loaded;
-    // Those that came before the first reading of the store were refused.
+    // Requests that arrived before the first read of the store were refused.
     const std::size_t refusedBefore = loaded.ended(CallerOutcome::NotRun);
     loaded.write({ "dc-2" });
     loaded.load({ 500 });
--- a/Tests/Node/FiguresTest.cpp
+++ b/Tests/Node/FiguresTest.cpp
@@ -10,20 +10,20 @@
 
 namespace {
 
-/** Two searches, one after the other, at an instance that has heard nothing of its servers. */
+/** Two consecutive requests, each of which needs a server, at an instance without load reports of its servers. */
 struct Case {
     const char* name;
     std::size_t servers;
     double probesPerSecond;
-    Milliseconds gap;
-    std::size_t fewest; // questions for both
+    Milliseconds gap; // between the two requests
+    std::size_t fewest; // probes for both requests
     std::size_t most;
 };
 
 const std::vector<Case> Cases{
-    { "younger figures are not asked for again", 3, 600, { 10 }, 3, 3 },
-    { "older ones are", 3, 600, { 200 }, 6, 6 },
-    { "a server that may not be asked again gives way to another", 10, 2, { 200 }, 4, 6 },
+    { "recent load reports are reused", 3, 600, { 10 }, 3, 3 },
+    { "old load reports are requested again", 3, 600, { 200 }, 6, 6 },
+    { "another server is probed in place of one whose probe budget is used up", 10, 2, { 200 }, 4, 6 },
 };
 
 constexpr Milliseconds Patience{ 2000 };
--- a/Tests/Node/FleetCostTest.cpp
+++ b/Tests/Node/FleetCostTest.cpp
@@ -15,14 +15,14 @@
 constexpr double MeasuredSeconds = 10;
 constexpr Milliseconds Step{ 1 };
 
-/** The most that a calm fleet of some size may spend on telling its instances what the store says. */
+/** Upper bounds on the traffic by which an idle fleet distributes the store's contents. */
 struct Case {
     const char* name;
     std::size_t instances;
-    double bytes; // of one instance a second, without framing
-    double busiest; // messages a second of the instance that sends the most
-    double storeCalls; // of all together, a second
-    Milliseconds spread; // until a change is in force on the last one
+    double bytes; // per instance and second, without framing
+    double busiest; // messages per second of the instance that sends the most
+    double storeCalls; // per second, of all instances together
+    Milliseconds spread; // until a change is in force on all instances
 };
 
 const std::vector<Case> Cases{
--- a/Tests/Node/FleetTest.cpp
+++ b/Tests/Node/FleetTest.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::size_t EntryInstances = 18;
-/** A tenth of what the store bears, a second: some hundred writes, two thousand reads. */
+/** A tenth of the load that the store can take per second: about 100 writes and 2000 reads. */
 constexpr std::size_t TenthOfWrites = 10;
 constexpr std::size_t TenthOfReads = 200;
 
@@ -58,7 +58,7 @@
     fleet.run({ 60000 });
     CHECK((reads(fleet.theStore()) - before) / 60 <= TenthOfReads);
 
-    // All restart within ten seconds; no second may be too expensive.
+    // All instances restart within ten seconds; the store's load must stay within bounds in each second.
     for (std::size_t instance = 0; instance < EntryInstances; ++instance) {
         fleet.clock().after(Milliseconds{ 500 } * static_cast<double>(instance), [&fleet, instance] {
             fleet.kill(instance);
@@ -106,7 +106,7 @@
     addServers(fleet, 4);
     fleet.startAll();
     fleet.run({ 5000 });
-    std::size_t away = fleet.size(); // the one that callers leave alone
+    std::size_t away = fleet.size(); // the instance that callers do not use at the moment
     std::size_t sent = 0;
     const auto load = [&](Milliseconds span) {
         const Milliseconds end = fleet.now() + span;
@@ -162,11 +162,12 @@
         fleet.kill(instance);
     fleet.start(0);
     fleet.run({ 30000 });
-    CHECK_FALSE_TEXT(fleet.node(0).isReady(), "not ready when nobody holds one");
+    CHECK_FALSE_TEXT(fleet.node(0).isReady(), "not ready when no instance has a configuration");
 }
 
-// Every watcher told everybody every change, and whoever fell behind asked again
-// before it was answered: 142 instances sent each other 1.6 GB in 15 s.
+// Guards against duplicate transfers: when every watcher sent every change to
+// all instances, and instances that fell behind repeated their pull before it was
+// answered, 142 instances sent each other 1.6 GB in 15 s.
 TEST(Fleet, AGrowingDirectoryCostsALargeFleetFewBytes)
 {
     constexpr std::size_t instances = 142;
@@ -186,14 +187,15 @@
     }
     fleet.run({ 1000 });
     CHECK(allHave(fleet, latest));
-    // The changes of 150 ms come together; each instance is sent them once.
+    // Changes are sent in batches of 150 ms, each of them once to each instance.
     const std::size_t batches = changes * 50 / 150 + 4;
     const std::size_t needed = document * batches * instances;
     CHECK(fleet.peerBytes() - before < 2 * needed);
 }
 
-// While the store was away everybody watched for a moment, and everybody told
-// every new watcher of all the others.
+// Guards against a flood of member lists: during an outage of the store all
+// instances became watchers for a moment, and each sent every new watcher its list
+// of all members.
 TEST(Fleet, AnOutageOfTheStoreCostsALargeFleetFewBytes)
 {
     constexpr std::size_t instances = 142;
@@ -211,13 +213,13 @@
     std::size_t watching = 0;
     for (std::size_t instance = 0; instance < instances; ++instance)
         watching += fleet.node(instance).isWatching() ? 1 : 0;
-    CHECK_TEXT(watching <= 6, "most have left off again");
+    CHECK_TEXT(watching <= 6, "most instances have stopped watching again");
     LONGS_EQUAL(instances, fleet.node(0).instances(fleet.now()));
 }
 
 TEST(Fleet, APartOfTheFleetThatKnowsNoWatcherFindsOne)
 {
-    // The seeds of the settings are all gone; only addresses heard before are left.
+    // All seeds of the settings are gone, so only addresses learned earlier can be used.
     VirtualFleet fleet(fleetOf(8));
     addServers(fleet, 2);
     fleet.startAll();
@@ -235,8 +237,9 @@
     CHECK(watching >= 1 && watching <= 3);
 }
 
-// Instances 2 and 3 send nothing and ask nobody: they can know only from
-// instance 1, whose request met the leaving backend server.
+// Instances 2 and 3 send no requests or probes to the leaving backend server, so
+// they can learn only from instance 1, to whose request the server announced that
+// it is leaving.
 TEST(Fleet, AnInstanceThatMetNoSignOfLeavingHearsOfItFromAnother)
 {
     VirtualFleet::Options options = fleetOf(3);
--- a/Tests/Node/ItemPackerTest.cpp
+++ b/Tests/Node/ItemPackerTest.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** Large, and told apart by its revision. */
+/** A large item whose value differs by revision. */
 StoreItem document(StoreRevision revision)
 {
     std::string value;
@@ -27,24 +27,24 @@
     return view;
 }
 
-/** What two instances have seen of one document, and what the receiver said it has. */
+/** The revisions of a document that two instances received, and the encoding that results. */
 struct Case {
     const char* name;
     std::vector<StoreRevision> sender;
     std::vector<StoreRevision> receiver;
-    StoreRevision heldThrough;
-    StoreRevision base; // against which the value is packed
-    bool isRead;
+    StoreRevision heldThrough; // reported by the receiver
+    StoreRevision base; // revision of the value that the message is packed against; 0: none
+    bool isRead; // whether the receiver can unpack it
 };
 
 const std::vector<Case> Cases{
-    { "against the one before", { 5, 9 }, { 5 }, 6, 5, true },
-    { "against the second last", { 5, 7, 9 }, { 5 }, 6, 5, true },
-    { "the sender has seen more", { 3, 5, 9 }, { 5 }, 5, 5, true },
-    { "the receiver has the next one already", { 5, 9 }, { 5, 7 }, 6, 5, true },
-    { "nothing is held", { 5, 9 }, {}, 0, 0, true },
-    { "too long ago to be kept", { 2, 3, 4, 5, 9 }, { 2 }, 2, 0, true },
-    { "the receiver forgot it", { 2, 9 }, { 2, 3, 4, 5, 6 }, 2, 2, false },
+    { "against the previous value", { 5, 9 }, { 5 }, 6, 5, true },
+    { "against the value before the previous one", { 5, 7, 9 }, { 5 }, 6, 5, true },
+    { "the sender holds more values", { 3, 5, 9 }, { 5 }, 5, 5, true },
+    { "the receiver already has a later value", { 5, 9 }, { 5, 7 }, 6, 5, true },
+    { "the receiver holds nothing", { 5, 9 }, {}, 0, 0, true },
+    { "the sender dropped the receiver's value", { 2, 3, 4, 5, 9 }, { 2 }, 2, 0, true },
+    { "the receiver dropped the base", { 2, 9 }, { 2, 3, 4, 5, 6 }, 2, 2, false },
 };
 
 }
--- a/Tests/Node/LargeItemsTest.cpp
+++ b/Tests/Node/LargeItemsTest.cpp
@@ -13,8 +13,9 @@
 namespace {
 
 /**
- * About 2,000 bytes a route, a fifth of them random as names, hosts and paths
- * are. Few and long ones, since the runner's leak check counts each allocation.
+ * A document with about 2,000 bytes per route, a fifth of them random like real
+ * names, hosts and paths. Routes are few and long, because the leak check of the
+ * test runner tracks each allocation.
  */
 std::string documentOf(std::size_t routes, std::uint64_t seed)
 {
@@ -100,15 +101,15 @@
     }
 };
 
-// Incident inc1: news that held a leaving came in time, but were not applied
-// while the document before them was still missing.
+// Guards against delayed changes: a gossip update with a leaving server arrived
+// in time, but was not applied while an earlier large document was still missing.
 TEST(LargeItems, ASmallChangeIsInForceAlsoWhenAnEarlierOneIsMissing)
 {
     peers::PeerMessage message = newsOf(12, 13, 1);
     addItem(message, "server/s1", "draining", 13);
     this->node->handle(PeerMessageArrived{ .message = message }, { 100 }, this->actions);
     STRCMP_EQUAL("draining", stateOf(*this->node, "s1", { 100 }).c_str());
-    LONGS_EQUAL_TEXT(10, this->node->storeRevision(), "what is missing is still to be asked for");
+    LONGS_EQUAL_TEXT(10, this->node->storeRevision(), "the missing changes still have to be pulled");
 }
 
 TEST(LargeItems, WhatWasAppliedEarlyIsNotTakenBackByWhatWasMissing)
@@ -128,23 +129,25 @@
     STRCMP_EQUAL("draining", stateOf(*this->node, "s1", { 200 }).c_str());
 }
 
-// Incident inc1: the decisions on one event took 155 ms in the mean while a
-// document was read, and every request of the instance waited for them.
+// Guards against slow events: while a large document was translated within the
+// node, handling one event took 155 ms on average, and all requests of the
+// instance waited for it.
 TEST(LargeItems, ALargeItemIsNotTranslatedWhileRequestsWait)
 {
     const std::string document = documentOf(100, 2);
     peers::PeerMessage message = newsOf(10, 11, 1);
     addItem(message, std::string(LineDocumentKey), document, 11);
     this->node->handle(PeerMessageArrived{ .message = message }, { 100 }, this->actions);
-    CHECK_TEXT(this->translator->longest() < document.size(), "that is work for outside of the decisions");
+    CHECK_TEXT(this->translator->longest() < document.size(), "large items must be translated outside the node");
 }
 
-// Incident inc1, on links and processors as the users have them.
+// Guards against the two faults above together, on links and processors like
+// those of the users.
 TEST(LargeItems, ALeavingIsKnownInTimeBesideALargeDocument)
 {
-    constexpr Milliseconds bound{ 1700 }; // an instance that hears nothing asks the store itself by then
+    constexpr Milliseconds bound{ 1700 }; // by then an instance that receives no updates calls the store itself
     constexpr std::size_t instances = 60;
-    constexpr std::size_t routes = 60; // 120 KB: an eighth of the users' largest, on links of an eighth of theirs
+    constexpr std::size_t routes = 60; // 120 KB: an eighth of the users' largest, on links an eighth as fast
     VirtualFleet::Options options;
     options.instances = instances;
     options.translator = this->translator;
@@ -159,7 +162,8 @@
     fleet.startAll();
     fleet.run({ 10000 });
 
-    // Twice: the document grows, then a part of it changes; a backend server leaves each half second meanwhile.
+    // The document is written twice, first grown, then with a line added. Meanwhile one backend server leaves every
+    // half second.
     std::string document = documentOf(routes, 2);
     std::size_t late = 0;
     for (std::size_t server = 0; server < servers; ++server) {
@@ -176,7 +180,7 @@
         fleet.run({ 500 });
     }
     fleet.run({ 3000 });
-    LONGS_EQUAL_TEXT(0, late, "instances that still sent to a leaving backend server");
+    LONGS_EQUAL_TEXT(0, late, "instances that did not learn in time of a leaving backend server");
     for (std::size_t instance = 0; instance < fleet.size(); ++instance)
         LONGS_EQUAL(store.revision(), fleet.node(instance).storeRevision());
 }
--- a/Tests/Node/LeavingServersTest.cpp
+++ b/Tests/Node/LeavingServersTest.cpp
@@ -1,5 +1,6 @@
-// One of several servers says in its answers that it leaves, while the store is
-// away: whoever hears it sends it nothing more, and tells the others.
+// One of several servers announces in its answers that it is leaving, while the
+// store is unavailable. An instance that receives the notice must send the server
+// no further request, and must inform the other instances.
 
 #include "Tests/Virtual/VirtualFleet.h"
 #include "Tests/Virtual/WordsKept.h"
@@ -18,19 +19,19 @@
 
 constexpr std::size_t Servers = 4;
 constexpr const char* LeavingName = "s0";
-/** A leaving server gets nothing new after a few seconds; of these the news may take this. */
+/** Time for the notice to reach all instances; a leaving server must receive nothing new after a few seconds. */
 constexpr Milliseconds KnownWithin{ 1000 };
 constexpr Milliseconds Settling{ 4000 };
 constexpr Milliseconds Watched{ 12000 };
 
-/** What else happens, and how busy the servers are. */
+/** The load, and a fault at the time of the first notice. */
 struct Case {
     const char* name;
     std::size_t instances;
-    Milliseconds between; // requests of the whole fleet
-    Milliseconds work; // of a request
-    std::function<void(VirtualFleet&)> plan; // at the moment from which the server says it
-    bool hears = true; // all instances hear of each other
+    Milliseconds between; // interval of requests of the whole fleet
+    Milliseconds work; // service time of a request
+    std::function<void(VirtualFleet&)> plan; // called when the server begins to announce that it is leaving
+    bool hears = true; // all instances receive each other's messages
 };
 
 void nothing(VirtualFleet&) { }
@@ -62,13 +63,13 @@
 }
 
 const std::vector<Case> Cases{
-    { "a calm fleet", 3, { 8 }, { 20 }, nothing },
-    { "requests wait for room", 3, { 3 }, { 40 }, nothing },
-    { "slow work, which is hedged", 3, { 30 }, { 200 }, nothing },
+    { "low load", 3, { 8 }, { 20 }, nothing },
+    { "requests wait for free slots", 3, { 3 }, { 40 }, nothing },
+    { "slow requests, which are hedged", 3, { 30 }, { 200 }, nothing },
     { "many instances", 95, { 6 }, { 20 }, nothing },
-    { "one is cut off from the others", 4, { 8 }, { 20 }, cutOneFromOthers, false },
-    { "those that watch begin anew", 6, { 8 }, { 20 }, killTheWatchers, false },
-    { "the record goes and comes back", 4, { 8 }, { 20 }, returnTheRecord },
+    { "one instance is cut off from the others", 4, { 8 }, { 20 }, cutOneFromOthers, false },
+    { "the watchers restart", 6, { 8 }, { 20 }, killTheWatchers, false },
+    { "the record is removed and written again", 4, { 8 }, { 20 }, returnTheRecord },
 };
 
 bool isLeavingServer(const std::string& id)
@@ -76,7 +77,7 @@
     return id.find(std::string("/") + LeavingName + "@") != std::string::npos;
 }
 
-/** Counts what an instance sends to a server that it knows to be leaving. */
+/** Counts attempts that an instance sends to a server that it knows to be leaving. */
 class SentInSpite {
 public:
     explicit SentInSpite(VirtualFleet& fleet)
@@ -107,7 +108,7 @@
         [&](const SentAttempt& attempt) { return attempt.at > than && isLeavingServer(attempt.backendServer); }));
 }
 
-/** It hears of servers only from their answers to requests. */
+/** A single instance without probes, which receives notices only in answers to requests. */
 VirtualFleet::Options oneWithoutProbes()
 {
     VirtualFleet::Options options;
@@ -153,8 +154,9 @@
         play(item);
 }
 
-// All three say it while requests wait for room there and more come: those that
-// wait are refused as soon as the last one has said it.
+// All three servers announce that they are leaving while requests wait for free
+// slots. The waiting requests must be refused as soon as the last server's notice
+// arrives.
 TEST(LeavingServers, WhenAllLeaveThoseThatWaitAreRefusedAtOnce)
 {
     VirtualFleet fleet(oneWithoutProbes());
@@ -182,7 +184,8 @@
     CHECK(fleet.callers().at(late).reason == RefusalReason::NoBackendServer);
 }
 
-// Its caller has left meanwhile, or another server was quicker: the word counts all the same.
+// The notice in an answer must count even when the caller has disconnected or
+// another server answered first.
 TEST(LeavingServers, AnAnswerThatNobodyWaitsForAnyMoreIsHeard)
 {
     VirtualFleet fleet(oneWithoutProbes());
@@ -192,7 +195,7 @@
     fleet.run(Settling);
     fleet.server("s0").setLeaving(true);
     const std::uint64_t caller = fleet.send(0, VirtualRequest{});
-    // A millisecond each way, 50 at the server: the answer is on its way.
+    // 1 ms to the server and 50 ms there: at 51.5 ms the answer is in transit.
     fleet.run({ 51.5 });
     fleet.leave(caller);
     CHECK(fleet.callers().at(caller).outcome == CallerOutcome::Left);
--- a/Tests/Node/LivesTest.cpp
+++ b/Tests/Node/LivesTest.cpp
@@ -35,7 +35,7 @@
     return facts;
 }
 
-/** Records that come one after the other, and the life that is then in use. */
+/** Lives in consecutive records of one server, and the life that is used afterwards. */
 struct Case {
     const char* name;
     std::vector<std::uint64_t> lives;
@@ -47,10 +47,10 @@
 
 const std::vector<Case> Cases{
     { "the same life", { 5, 5 }, 5, Kind::Changed },
-    { "a new life", { 5, 9 }, 9, Kind::Restarted },
-    { "an older life, late", { 9, 5 }, 9, Kind::Added },
-    { "lives that are not told apart", { 0, 0 }, 0, Kind::Changed },
-    { "told apart from now on", { 0, 5 }, 5, Kind::Restarted },
+    { "a newer life", { 5, 9 }, 9, Kind::Restarted },
+    { "a late record of an older life", { 9, 5 }, 9, Kind::Added },
+    { "records without a life", { 0, 0 }, 0, Kind::Changed },
+    { "a life after a record without one", { 0, 5 }, 5, Kind::Restarted },
 };
 
 }
@@ -131,7 +131,8 @@
     signs.heard("s1", 9, { 150 });
     CHECK_FALSE(this->table.backendServer("s1")->takesNewRequests());
     signs.receive(told, { 160 });
-    CHECK_FALSE_TEXT(this->table.backendServer("s1")->takesNewRequests(), "an older life says nothing of it");
+    CHECK_FALSE_TEXT(
+        this->table.backendServer("s1")->takesNewRequests(), "a notice of an older life does not apply to it");
 }
 
 TEST(Lives, ARecordThatCannotBeReadAnyMoreNamesNoServer)
--- a/Tests/Node/MutationTest.cpp
+++ b/Tests/Node/MutationTest.cpp
@@ -22,7 +22,7 @@
 constexpr int Rounds = 800;
 constexpr std::size_t MostMutations = 8;
 
-/** Changes, drops or doubles a few bytes. */
+/** Replaces, removes or duplicates a few random bytes. */
 std::string mutate(std::string text, Random& random)
 {
     const std::size_t count = 1 + random.below(MostMutations);
@@ -108,11 +108,11 @@
     return options;
 }
 
-/** Answers the node's first reading of the store with one item. */
+/** Answers the node's first read of the store with one item. */
 void giveItem(Node& node, const std::string& key, const std::string& value, Actions& actions)
 {
     node.handle(ControlTimer{}, {}, actions);
-    // The moment of the first reading is drawn; by then it is due.
+    // The first read is delayed at random, by up to a second.
     constexpr Milliseconds each{ 1 };
     constexpr std::size_t longest = 1000;
     const auto isAsked = [&] { return !actions.empty() && std::holds_alternative<AskStore>(actions.back()); };
@@ -149,8 +149,8 @@
             node.handle(ControlTimer{}, now, actions);
             node.handle(RequestTimer{}, now, actions);
         }
-        CHECK_TEXT(actions.size() < 20000, "a few messages never cause a flood");
-        CHECK_TEXT(node.isReady(), "what was known is not forgotten");
+        CHECK_TEXT(actions.size() < 20000, "a few messages must not cause a flood of actions");
+        CHECK_TEXT(node.isReady(), "the configuration in force is kept");
     }
 }
 
--- a/Tests/Node/NewsTest.cpp
+++ b/Tests/Node/NewsTest.cpp
@@ -62,7 +62,7 @@
     LONGS_EQUAL(11, this->after(news(50, 5, 10, 11), { 100 }));
     LONGS_EQUAL_TEXT(11, this->after(news(50, 4, 11, 12), { 200 }), "an older number");
     LONGS_EQUAL_TEXT(
-        11, this->after(news(49, 9, 11, 12), { 300 }), "an earlier life, spoken of while the later one is heard");
+        11, this->after(news(49, 9, 11, 12), { 300 }), "an earlier incarnation, while the later one is active");
     LONGS_EQUAL(12, this->after(news(50, 6, 11, 12), { 400 }));
 }
 
@@ -96,7 +96,7 @@
     peers::PeerMessage second = news(60, 1, 11, 12);
     second.mutable_news()->mutable_origin()->mutable_incarnation()->set_name("entry-3");
     this->after(second, { 200 });
-    LONGS_EQUAL_TEXT(1, introductions(), "the leading watcher does that");
+    LONGS_EQUAL_TEXT(1, introductions(), "the leading watcher introduces later ones");
 }
 
 TEST(News, WhatCannotBeAppliedWithoutAGapIsPulled)
--- a/Tests/Node/ReturnOfAllTest.cpp
+++ b/Tests/Node/ReturnOfAllTest.cpp
@@ -13,25 +13,25 @@
 
 namespace {
 
-/** All instances end at once and begin again, with a store that tells old things to whoever does not mind. */
+/** All instances stop at once and start again, with a store whose stale reads lag behind. */
 struct Case {
     const char* name;
     std::size_t instances;
-    Milliseconds staleBehind;
-    Milliseconds changedBefore; // the last change of the configuration, before all begin again
+    Milliseconds staleBehind; // age of the data in the store's stale reads
+    Milliseconds changedBefore; // time from the last change of the configuration to the start
 };
 
 const std::vector<Case> Cases{
-    { "a store that is current", 18, { 0 }, { 100 } },
-    { "nothing changed lately", 18, { 3000 }, { 5000 } },
-    { "the change is not in what the store tells first", 18, { 3000 }, { 200 } },
-    { "the same with many", 120, { 3000 }, { 200 } },
+    { "reads are current", 18, { 0 }, { 100 } },
+    { "stale reads, no recent change", 18, { 3000 }, { 5000 } },
+    { "stale reads lack the last change", 18, { 3000 }, { 200 } },
+    { "stale reads lack the last change, many instances", 120, { 3000 }, { 200 } },
 };
 
 constexpr std::size_t Servers = 20;
-/** In which an instance that has just begun need not know yet. */
+/** Time after its start within which an instance may still lack changes. */
 constexpr Milliseconds MayBeBehind{ 3000 };
-/** A whole reading takes two pages. */
+/** Store calls for one complete read. */
 constexpr std::size_t PagesOfAReading = 2;
 
 std::size_t callsAtFullPrice(VirtualFleet& fleet)
@@ -65,13 +65,13 @@
     CHECK_TEXT(fullPrice <= item.instances * PagesOfAReading, item.name);
 }
 
-/** How a fleet of weak instances, with some strong ones or none, is ready again. */
+/** The start of a whole fleet of weak instances, some of them strong or none. */
 struct LinkCase {
     const char* name;
     std::size_t instances;
     std::size_t strong;
-    Milliseconds readyWithin; // all of them
-    std::size_t mostReadings; // of the store
+    Milliseconds readyWithin; // until all instances are ready
+    std::size_t mostReadings; // read calls to the store
 };
 
 const std::vector<LinkCase> LinkCases{
@@ -80,13 +80,13 @@
     { "few, and none is strong", 18, 0, { 800 }, 12 },
 };
 
-/** For as many instances as 1,000 Mbit/s are for hundreds, and 20 Mbit/s. */
+/** 120 Mbit/s for these fleets, in proportion to 1,000 Mbit/s for hundreds of instances; and 20 Mbit/s. */
 constexpr double StoreBytesPerMillisecond = 15000;
 constexpr double WeakBytesPerMillisecond = 2500;
 constexpr std::size_t DocumentBytes = 300000;
 constexpr Milliseconds LookInterval{ 20 };
 
-/** Lines of routes, of which a fifth is random. */
+/** A document of route lines, a fifth of each random. */
 std::string documentOfRoutes()
 {
     constexpr std::size_t randomBytes = 400;
@@ -140,7 +140,9 @@
 
 TEST_GROUP(ReturnOfAll){};
 
-// Hundreds that begin together and one store whose answers share a link.
+// Guards against a slow start of the whole fleet: the store's answers to all
+// instances share one link, so a few instances must read it and send the data to
+// the others.
 TEST(ReturnOfAll, FewReadTheStoreAndTellTheOthers)
 {
     for (const LinkCase& item : LinkCases)
--- a/Tests/Node/StoreOutageTest.cpp
+++ b/Tests/Node/StoreOutageTest.cpp
@@ -10,23 +10,23 @@
 
 namespace {
 
-/** The store is away for a while, for all or for those that watch it, and a change comes. */
+/** The store is unavailable for a while, to all instances or only to the watchers, and a change is written. */
 struct Case {
     const char* name;
     std::size_t instances;
-    StoreFault fault; // None: it turns the watchers away
+    StoreFault fault; // None: the store rejects the watchers only
     Milliseconds lasts;
-    bool changesMeanwhile; // else as it is back
-    Milliseconds knownWithin; // of the change, everywhere
-    double mostCalls; // of an instance in the mean
+    bool changesMeanwhile; // the change is written during the fault; otherwise right after it
+    Milliseconds knownWithin; // until all instances have the change
+    double mostCalls; // to the store, per instance on average
 };
 
 const std::vector<Case> Cases{
     { "down", 18, StoreFault::Down, { 8000 }, false, { 3000 }, 7 },
     { "down, many instances", 120, StoreFault::Down, { 8000 }, false, { 3000 }, 2.5 },
     { "silent, many instances", 120, StoreFault::Silent, { 8000 }, false, { 4000 }, 2.5 },
-    { "the watchers are turned away", 18, StoreFault::None, { 8000 }, true, { 6000 }, 7 },
-    { "the watchers of many are turned away", 120, StoreFault::None, { 8000 }, true, { 6000 }, 2.5 },
+    { "the watchers are rejected", 18, StoreFault::None, { 8000 }, true, { 6000 }, 7 },
+    { "the watchers are rejected, many instances", 120, StoreFault::None, { 8000 }, true, { 6000 }, 2.5 },
 };
 
 constexpr std::size_t Servers = 20;
--- a/Tests/Node/SuspensionTest.cpp
+++ b/Tests/Node/SuspensionTest.cpp
@@ -1,6 +1,6 @@
-// A machine that is suspended for seconds finds, when it goes on, that its clock
-// has gone on without it: what was due meanwhile is done at once, and nothing is
-// sent that is of no use any more.
+// An instance that was suspended for seconds finds its clock advanced when it
+// resumes. It must do at once what became due meanwhile, and must not send
+// requests whose callers have given up.
 
 #include "Tests/Virtual/VirtualFleet.h"
 
@@ -22,25 +22,25 @@
 constexpr Milliseconds Span{ 6000 };
 constexpr Milliseconds Patience{ 2000 };
 constexpr Milliseconds AtOnce{ 30 };
-/** By then an instance that goes on must know what was changed meanwhile. */
+/** Time after its resumption within which an instance must have the changes that it missed. */
 constexpr Milliseconds Contact{ 3000 };
 
-/** What the servers do to a request that is under way when its instance is suspended. */
+/** How the servers treat a request that is in progress when its instance is suspended. */
 struct Case {
     const char* name;
     ServerFault fault;
     Milliseconds work;
     std::size_t requests;
-    Milliseconds before; // from the arrival to the suspension
-    std::vector<CallerOutcome> outcomes; // any of these, right after the suspension
+    Milliseconds before; // from the request's arrival to the suspension
+    std::vector<CallerOutcome> outcomes; // allowed results right after the suspension
 };
 
 const std::vector<Case> Cases{
-    { "the answer comes meanwhile", ServerFault::None, { 100 }, 1, { 20 }, { CallerOutcome::Answered } },
+    { "the server answers meanwhile", ServerFault::None, { 100 }, 1, { 20 }, { CallerOutcome::Answered } },
     { "the server hangs", ServerFault::Hangs, { 100 }, 1, { 400 }, { CallerOutcome::Unknown } },
     { "the connection breaks meanwhile", ServerFault::LosesAnswers, { 100 }, 1, { 20 }, { CallerOutcome::Unknown } },
-    { "figures of servers are awaited", ServerFault::Hangs, { 100 }, 1, { 5 }, { CallerOutcome::NotRun } },
-    { "it waits for a server", ServerFault::Hangs, { 100 }, 60, { 20 },
+    { "the request waits for load reports", ServerFault::Hangs, { 100 }, 1, { 5 }, { CallerOutcome::NotRun } },
+    { "the request waits for a server", ServerFault::Hangs, { 100 }, 60, { 20 },
         { CallerOutcome::Unknown, CallerOutcome::NotRun } },
 };
 
@@ -63,7 +63,7 @@
         return this->fleet.configure(virtualConfiguration(this->fleet.serverIds(), ++this->revision));
     }
 
-    /** Runs on while the instance is suspended, and goes on with it. */
+    /** Suspends one instance while the rest of the fleet runs, then resumes it. */
     void suspend()
     {
         this->fleet.freeze(Suspended);
