--- a/Source/Node/Actions.h
+++ b/Source/Node/Actions.h
@@ -5,8 +5,8 @@
 #include "Configuration/RoutingConfiguration.h"
 #include "Measurement/ProbeDesk.h"
 #include "Metrics/Reasons.h"
+#include "Node/ChangeSource.h"
 #include "Node/DecisionRecord.h"
-#include "Node/FactSource.h"
 #include "Routing/AttemptResult.h"
 #include "Store/StoreCall.h"
 #include "Store/StoreItem.h"
@@ -105,7 +105,7 @@
  */
 struct TranslateItem {
     StoreItem item;
-    FactSource source = FactSource::Store;
+    ChangeSource source = ChangeSource::Store;
 };
 
 /** Answer an operator's ChangeAsked. */
--- a/Source/Node/FactSource.h
+++ b/Source/Node/ChangeSource.h
@@ -5,7 +5,7 @@
 namespace burlreach {
 
 /** How this instance learned of a change in the store. */
-enum class FactSource {
+enum class ChangeSource {
     Store, // this instance read or watched the store
     News, // a gossip update of an instance that watches the store
     Push, // sent by another instance, in answer to a pull or unsolicited
@@ -13,6 +13,6 @@
 };
 
 /** The source's name in log lines. */
-std::string_view nameOf(FactSource source);
+std::string_view nameOf(ChangeSource source);
 
 }
--- a/Source/Node/ItemPacker.cpp
+++ b/Source/Node/ItemPacker.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /** Size of the cache: a document packed against each of its kept earlier values, and without a base. */
-constexpr std::size_t PackedKept = 4;
+constexpr std::size_t PackedCacheSize = 4;
 
 }
 
@@ -31,7 +31,7 @@
         .revision = item.revision,
         .base = baseRevision,
         .bytes = packValue(item.value, base ? std::string_view(base->value) : std::string_view()) });
-    if (this->recent.size() > PackedKept)
+    if (this->recent.size() > PackedCacheSize)
         this->recent.pop_front();
     return this->recent.back().bytes;
 }
--- a/Source/Node/BeliefRecords.cpp
+++ b/Source/Node/KnowledgeRecords.cpp
@@ -1,4 +1,4 @@
-#include "Node/BeliefRecords.h"
+#include "Node/KnowledgeRecords.h"
 
 #include "Quotas/GrantorTenure.h"
 
@@ -6,7 +6,7 @@
 
 namespace burlreach {
 
-DecisionRecord recordOfGrantor(const StoreItem& item, FactSource source)
+DecisionRecord grantorRecord(const StoreItem& item, ChangeSource source)
 {
     const auto grantor = readGrantor(item.value);
     return beliefOf("credit_grantor", grantor ? grantor->member().incarnation().name() : "nobody")
@@ -15,7 +15,7 @@
         .with("heard_from", nameOf(source));
 }
 
-void addRecordsOfSplits(const RoutingConfiguration& configuration, std::size_t most, Actions& actions)
+void addSplitRouteRecords(const RoutingConfiguration& configuration, std::size_t most, Actions& actions)
 {
     std::size_t lines = 0;
     for (const Route& route : configuration.routes) {
--- a/Source/Node/BeliefRecords.h
+++ b/Source/Node/KnowledgeRecords.h
@@ -2,7 +2,7 @@
 
 #include "Configuration/RoutingConfiguration.h"
 #include "Node/Actions.h"
-#include "Node/FactSource.h"
+#include "Node/ChangeSource.h"
 #include "Store/StoreItem.h"
 
 #include <cstddef>
@@ -10,9 +10,9 @@
 namespace burlreach {
 
 /** Logs the instance that grants credit for customers' requests, as read from the store, or that there is none. */
-DecisionRecord recordOfGrantor(const StoreItem& item, FactSource source);
+DecisionRecord grantorRecord(const StoreItem& item, ChangeSource source);
 
 /** Logs one record for each route with several weighted services, at most `most`. */
-void addRecordsOfSplits(const RoutingConfiguration& configuration, std::size_t most, Actions& actions);
+void addSplitRouteRecords(const RoutingConfiguration& configuration, std::size_t most, Actions& actions);
 
 }
--- a/Source/Node/LeavingSigns.cpp
+++ b/Source/Node/LeavingSigns.cpp
@@ -13,7 +13,7 @@
 {
 }
 
-void LeavingSigns::note(const std::string& backendServer, const Sign& sign, bool isHeardHere)
+void LeavingSigns::record(const std::string& backendServer, const Sign& sign, bool isFromServer)
 {
     // Notices are kept also for servers without a record, because the record may be written again.
     if (!this->book->heardLeaving(backendServer, sign.life, sign.at))
@@ -26,17 +26,17 @@
     if (server->record().draining)
         return;
     this->signs[backendServer] = sign;
-    this->found.push_back({ .backendServer = backendServer, .isHeardHere = isHeardHere });
+    this->foundServers.push_back({ .backendServer = backendServer, .isFromServer = isFromServer });
 }
 
-void LeavingSigns::heard(const std::string& backendServer, std::uint64_t life, Milliseconds now)
+void LeavingSigns::addOwn(const std::string& backendServer, std::uint64_t life, Milliseconds now)
 {
-    this->note(backendServer, { .life = life, .at = now }, true);
+    this->record(backendServer, { .life = life, .at = now }, true);
 }
 
 void LeavingSigns::fill(Messages& messages, Milliseconds now)
 {
-    std::erase_if(this->signs, [&](const auto& item) { return now - item.second.at > this->options.toldFor; });
+    std::erase_if(this->signs, [&](const auto& item) { return now - item.second.at > this->options.sendFor; });
     for (const auto& [backendServer, sign] : this->signs) {
         peers::LeavingSign* message = messages.Add();
         message->set_backend_server(backendServer);
@@ -52,13 +52,13 @@
         const Sign sign{ .life = message.life(),
             .at = now - Milliseconds{ static_cast<double>(message.age_milliseconds()) } };
         if (message.leaving())
-            this->note(message.backend_server(), sign, false);
+            this->record(message.backend_server(), sign, false);
     }
 }
 
-std::vector<LeavingServer> LeavingSigns::takeFound()
+std::vector<LeavingServer> LeavingSigns::takeNewlyLeaving()
 {
-    return std::exchange(this->found, {});
+    return std::exchange(this->foundServers, {});
 }
 
 }
--- a/Source/Node/LeavingSigns.h
+++ b/Source/Node/LeavingSigns.h
@@ -17,7 +17,7 @@
 /** A backend server that was found to be leaving. */
 struct LeavingServer {
     std::string backendServer;
-    bool isHeardHere = false; // from the server's own answer to this instance; otherwise from another instance
+    bool isFromServer = false; // from the server's own answer to this instance; otherwise from another instance
 };
 
 /**
@@ -31,19 +31,19 @@
     using Messages = google::protobuf::RepeatedPtrField<peers::LeavingSign>;
 
     struct Options {
-        Milliseconds toldFor{ 3000 }; // older notices are no longer sent to other instances
+        Milliseconds sendFor{ 3000 }; // older notices are no longer sent to other instances
     };
 
     /** The referenced objects must outlive this one. */
     LeavingSigns(Options options, NoticeBook& book, const ServiceTable& services);
 
     /** Records that the server announced in an answer that it is leaving. */
-    void heard(const std::string& backendServer, std::uint64_t life, Milliseconds now);
+    void addOwn(const std::string& backendServer, std::uint64_t life, Milliseconds now);
     /** Appends the recent notices to a message to another instance. */
     void fill(Messages& messages, Milliseconds now);
     void receive(const Messages& messages, Milliseconds now);
     /** Servers found since the last call that are in use here and whose store record is not marked as draining. */
-    std::vector<LeavingServer> takeFound();
+    std::vector<LeavingServer> takeNewlyLeaving();
 
 private:
     struct Sign {
@@ -51,13 +51,13 @@
         Milliseconds at;
     };
 
-    void note(const std::string& backendServer, const Sign& sign, bool isHeardHere);
+    void record(const std::string& backendServer, const Sign& sign, bool isFromServer);
 
     Options options;
     NoticeBook* book;
     const ServiceTable* services;
     std::map<std::string, Sign> signs;
-    std::vector<LeavingServer> found;
+    std::vector<LeavingServer> foundServers;
 };
 
 }
--- a/Source/Node/NewsExchange.cpp
+++ b/Source/Node/NewsExchange.cpp
@@ -11,16 +11,16 @@
 
 namespace {
 
-constexpr Milliseconds InForcePatience{ 1500 };
+constexpr Milliseconds InForceTimeout{ 1500 };
 /** How long a count of instances reported by another instance is used. */
-constexpr Milliseconds CountKept{ 10000 };
+constexpr Milliseconds ReportedCountLifetime{ 10000 };
 /** After this silence, updates of another incarnation of an origin are accepted even with a lower number. */
-constexpr Milliseconds OriginSilent{ 5000 };
-constexpr std::size_t ContactsPerNews = 2;
-constexpr std::uint64_t NewsPerContacts = 4;
-constexpr std::size_t ContactsAsked = 3;
+constexpr Milliseconds OriginForgottenAfter{ 5000 };
+constexpr std::size_t ContactsPerUpdate = 2;
+constexpr std::uint64_t UpdatesPerContactList = 4;
+constexpr std::size_t ContactsPerSearch = 3;
 
-constexpr unsigned MostSearchDoublings = 3;
+constexpr unsigned MaxSearchDoublings = 3;
 /** Maximum random extension of a pause between searches, as a fraction of the pause. */
 constexpr double SearchJitter = 0.5;
 
@@ -92,14 +92,14 @@
     }
     switch (message.body_case()) {
     case peers::PeerMessage::kHello:
-        this->helloReceived(message.hello(), now, actions);
+        this->handleHello(message.hello(), now, actions);
         this->parts.crashes->receive(message.hello().crashes(), this->parts.store->isWatching(), now, actions);
         this->parts.signs->receive(message.hello().leaving_signs(), now);
         this->parts.limits->receive(message.hello().limits(), false, now, actions);
         this->parts.rollouts->receive(message.from(), message.hello().rollouts(), now);
         break;
     case peers::PeerMessage::kNews:
-        this->newsReceived(message, now, actions);
+        this->handleNews(message, now, actions);
         // The watcher sent this to all instances, so it need not be passed on.
         this->parts.crashes->receive(message.news().crashes(), false, now, actions);
         this->parts.signs->receive(message.news().leaving_signs(), now);
@@ -109,14 +109,14 @@
         peers::PeerMessage answer;
         *answer.mutable_push() = this->parts.store->pushFor(message.pull());
         this->answer(message.from(), answer, actions);
-        actions.emplace_back(recordOfPush("changes_sent", message.from(), answer.push(), *this->parts.store));
+        actions.emplace_back(pushRecord("changes_sent", message.from(), answer.push(), *this->parts.store));
         break;
     }
     case peers::PeerMessage::kPush:
-        this->pushReceived(message, now, actions);
+        this->handlePush(message, now, actions);
         break;
     case peers::PeerMessage::kWatchers:
-        this->watchersReceived(message.watchers(), now, actions);
+        this->handleWatchers(message.watchers(), now, actions);
         break;
     case peers::PeerMessage::kMembersPull: {
         peers::PeerMessage answer;
@@ -125,7 +125,7 @@
         break;
     }
     case peers::PeerMessage::kMembersPush:
-        this->membersReceived(message.members_push(), now, actions);
+        this->handleMembersPush(message.members_push(), now, actions);
         break;
     default: // empty, or a kind that other classes handle
         this->parts.counters->add(DecisionCount::PeerMessagesRefused);
@@ -133,7 +133,7 @@
     }
 }
 
-void NewsExchange::helloReceived(const peers::Hello& hello, Milliseconds now, Actions& actions)
+void NewsExchange::handleHello(const peers::Hello& hello, Milliseconds now, Actions& actions)
 {
     const peers::Member& member = hello.member();
     const std::string& name = member.incarnation().name();
@@ -143,7 +143,7 @@
     const bool knowsNothing = !hello.store_revision();
     const StoreRevision own = this->parts.store->view().revision();
     if (isNew && knowsNothing && own)
-        this->helpAt = std::min(this->helpAt, now + this->options.helpInterval);
+        this->sendViewAt = std::min(this->sendViewAt, now + this->options.newInstanceInterval);
     if (!knowsNothing && !own) {
         constexpr bool canTell = true;
         this->pulls.behind(member, hello.store_revision(), canTell, now);
@@ -151,7 +151,7 @@
     }
     if (this->parts.store->isWatching()) {
         if (isNew)
-            this->send(addressOf(member), this->newNews(hello.store_revision(), now), actions);
+            this->send(addressOf(member), this->makeNews(hello.store_revision(), now), actions);
         return;
     }
     peers::PeerMessage told;
@@ -161,46 +161,46 @@
         this->send(addressOf(member), std::move(told), actions);
 }
 
-void NewsExchange::viewChanged(Milliseconds now, Actions& actions)
+void NewsExchange::announceFirstView(Milliseconds now, Actions& actions)
 {
-    if (this->hasView || !this->parts.store->view().revision())
+    if (this->hasAnnouncedView || !this->parts.store->view().revision())
         return;
-    this->hasView = true;
+    this->hasAnnouncedView = true;
     // Other new instances know the seeds too, and can learn from them who has a view.
-    this->helloToSeeds(now, actions);
-    this->helpOthers(now, actions);
+    this->sendHellosToSeeds(now, actions);
+    this->sendViewToNewInstances(now, actions);
 }
 
-void NewsExchange::helpOthers(Milliseconds now, Actions& actions)
+void NewsExchange::sendViewToNewInstances(Milliseconds now, Actions& actions)
 {
-    this->helpAt = Never;
-    std::vector<KnownMember> ignorant;
+    this->sendViewAt = Never;
+    std::vector<KnownMember> newInstances;
     for (const KnownMember& known : this->members.members()) {
         if (!known.revision)
-            ignorant.push_back(known);
+            newInstances.push_back(known);
     }
-    if (ignorant.empty())
+    if (newInstances.empty())
         return;
     peers::PeerMessage message;
-    *message.mutable_push() = this->parts.store->pushOfEverything();
+    *message.mutable_push() = this->parts.store->fullPush();
     message.mutable_push()->set_is_unasked(true);
     actions.emplace_back(
-        recordOfPush("everything_told", this->options.self.incarnation(), message.push(), *this->parts.store)
-            .with("instances", std::uint64_t{ ignorant.size() }));
-    this->sendOver(firstBranches(ignorant, this->options.tree, now), std::move(message), actions);
+        pushRecord("everything_told", this->options.self.incarnation(), message.push(), *this->parts.store)
+            .with("instances", std::uint64_t{ newInstances.size() }));
+    this->sendToBranches(firstBranches(newInstances, this->options.tree, now), std::move(message), actions);
     this->members.allWereTold(this->parts.store->view().revision());
 }
 
-void NewsExchange::watchersReceived(const peers::Watchers& message, Milliseconds now, Actions& actions)
+void NewsExchange::handleWatchers(const peers::Watchers& message, Milliseconds now, Actions& actions)
 {
     const bool wasSearching = this->duty.watchers(now).empty();
     for (const peers::Member& watcher : message.watchers())
         this->duty.toldOfWatcher(watcher, now);
     if (wasSearching && !this->duty.watchers(now).empty())
-        this->sayHello(now, actions);
+        this->sendHellos(now, actions);
 }
 
-void NewsExchange::membersReceived(const peers::MembersPush& message, Milliseconds now, Actions& actions)
+void NewsExchange::handleMembersPush(const peers::MembersPush& message, Milliseconds now, Actions& actions)
 {
     for (const peers::KnownMember& known : message.members()) {
         const bool isSelf = known.member().incarnation().name() == this->options.self.incarnation().name();
@@ -217,38 +217,38 @@
     LastNews& last = this->lastNews[news.origin().incarnation().name()];
     const std::uint64_t life = news.origin().incarnation().number();
     // An instance whose clock was set back restarts with a lower incarnation number.
-    const bool isSilent = now - last.heardAt > OriginSilent;
-    const bool isEarlier = life < last.life || (life == last.life && news.number() <= last.number);
-    if (isEarlier && !(isSilent && life != last.life))
+    const bool isSilent = now - last.receivedAt > OriginForgottenAfter;
+    const bool isEarlier = life < last.incarnation || (life == last.incarnation && news.number() <= last.number);
+    if (isEarlier && !(isSilent && life != last.incarnation))
         return false;
-    last = { .life = life, .number = news.number(), .heardAt = now };
+    last = { .incarnation = life, .number = news.number(), .receivedAt = now };
     return true;
 }
 
-void NewsExchange::pushReceived(const peers::PeerMessage& message, Milliseconds now, Actions& actions)
+void NewsExchange::handlePush(const peers::PeerMessage& message, Milliseconds now, Actions& actions)
 {
     const peers::Push& push = message.push();
     this->relay(message, actions);
-    actions.emplace_back(recordOfPush("changes_taken", message.from(), push, *this->parts.store));
+    actions.emplace_back(pushRecord("changes_taken", message.from(), push, *this->parts.store));
     if (push.is_unasked())
         this->pulls.delivered();
     else
         this->pulls.answered();
     // A value was packed against a base that this instance does not hold: request it without a base.
-    this->asksByThemselves = !this->parts.store->takePush(push, now, actions);
+    this->needsValuesWithoutBase = !this->parts.store->applyPush(push, now, actions);
     this->pulls.reached(this->parts.store->view().revision());
     this->pull(now, actions);
-    this->viewChanged(now, actions);
+    this->announceFirstView(now, actions);
 }
 
-void NewsExchange::newsReceived(const peers::PeerMessage& message, Milliseconds now, Actions& actions)
+void NewsExchange::handleNews(const peers::PeerMessage& message, Milliseconds now, Actions& actions)
 {
     const peers::News& news = message.news();
     const peers::Incarnation& origin = news.origin().incarnation();
     if (origin.name() == this->options.self.incarnation().name() || !this->isNewer(news, now))
         return;
     this->relay(message, actions);
-    const bool introduces = !this->duty.knows(origin) && this->introducesOthers(now);
+    const bool introduces = !this->duty.knows(origin) && this->shouldIntroduceMembers(now);
     const Milliseconds age{ static_cast<double>(news.age_milliseconds()) };
     this->duty.heardWatcher(news.origin(), news.is_confirmed() ? now - age : LongAgo, now);
     for (const peers::Member& watcher : news.watchers())
@@ -258,21 +258,21 @@
     this->members.heard(news.origin(), news.store_revision(), now);
     for (const peers::Member& contact : news.contacts())
         this->contacts.learn(addressOf(contact));
-    this->toldInstances = news.member_count();
-    this->toldInstancesAt = now;
-    const bool isTaken = this->parts.store->takeNews(news, now, actions);
+    this->reportedInstances = news.member_count();
+    this->instancesReportedAt = now;
+    const bool isTaken = this->parts.store->applyNews(news, now, actions);
     this->pulls.reached(this->parts.store->view().revision());
     if (isTaken)
         return;
     if (news.base_revision())
-        actions.emplace_back(recordOfIncomplete(news, *this->parts.store, now));
+        actions.emplace_back(incompleteNewsRecord(news, *this->parts.store, now));
     if (news.large_changes_follow())
         this->pulls.promised(now);
     this->pulls.behind(news.origin(), news.store_revision(), news.base_revision() != 0, now);
     this->pull(now, actions);
 }
 
-bool NewsExchange::introducesOthers(Milliseconds now) const
+bool NewsExchange::shouldIntroduceMembers(Milliseconds now) const
 {
     // If all did, then whenever all instances watch for a moment, as in a store outage, each would send its member list
     // to every other.
@@ -301,10 +301,11 @@
     const auto receivers = unpack(message.has_push() ? message.push().relay_to() : message.news().relay_to());
     if (receivers.empty())
         return;
-    this->sendOver(branchesOf(receivers, this->options.tree.mostBranches), message, actions);
+    this->sendToBranches(branchesOf(receivers, this->options.tree.mostBranches), message, actions);
 }
 
-void NewsExchange::sendOver(const std::vector<NewsBranch>& branches, peers::PeerMessage message, Actions& actions) const
+void NewsExchange::sendToBranches(
+    const std::vector<NewsBranch>& branches, peers::PeerMessage message, Actions& actions) const
 {
     for (const NewsBranch& branch : branches) {
         setRelays(message, branch.relayTo);
@@ -318,16 +319,16 @@
     if (!from)
         return;
     // The receiver learns from the hello where to send its answer.
-    this->send(addressOf(*from), this->newHello(now), actions);
+    this->send(addressOf(*from), this->makeHello(now), actions);
     peers::PeerMessage message;
     message.mutable_pull()->set_store_revision(this->parts.store->view().revision());
-    message.mutable_pull()->set_by_themselves(this->asksByThemselves);
+    message.mutable_pull()->set_by_themselves(this->needsValuesWithoutBase);
     actions.emplace_back(
         beliefOf("changes_asked", from->incarnation().name()).with("have", message.pull().store_revision()));
     this->send(addressOf(*from), std::move(message), actions);
 }
 
-peers::PeerMessage NewsExchange::newHello(Milliseconds now) const
+peers::PeerMessage NewsExchange::makeHello(Milliseconds now) const
 {
     peers::PeerMessage message;
     peers::Hello* hello = message.mutable_hello();
@@ -340,13 +341,13 @@
     return message;
 }
 
-peers::PeerMessage NewsExchange::newNews(StoreRevision since, Milliseconds now)
+peers::PeerMessage NewsExchange::makeNews(StoreRevision since, Milliseconds now)
 {
     peers::PeerMessage message;
     peers::News* news = message.mutable_news();
     *news->mutable_origin() = this->options.self;
     news->set_number(++this->newsNumber);
-    this->parts.store->fill(*news, this->duty.leads(now) ? since : 0, now);
+    this->parts.store->fillNews(*news, this->duty.leads(now) ? since : 0, now);
     for (const peers::Member& watcher : this->duty.heardWatchers(now))
         *news->add_watchers() = watcher;
     news->set_member_count(static_cast<std::uint32_t>(this->instances(now)));
@@ -354,113 +355,113 @@
     this->parts.limits->fill(*news->mutable_limits(), false, now);
     // Sent by all watchers, because after the loss of the leading one it takes 3 s until the next one leads.
     this->parts.crashes->fillWithAll(*news->mutable_crashes(), now);
-    const bool tellsContacts = this->newsNumber % NewsPerContacts == 0 && this->members.size();
-    for (std::size_t count = 0; tellsContacts && count < ContactsPerNews; ++count) {
+    const bool includesContacts = this->newsNumber % UpdatesPerContactList == 0 && this->members.size();
+    for (std::size_t count = 0; includesContacts && count < ContactsPerUpdate; ++count) {
         const std::size_t index = this->parts.random->below(this->members.size());
         *news->add_contacts() = this->members.members()[index].member;
     }
     return message;
 }
 
-void NewsExchange::spread(Milliseconds now, Actions& actions)
+void NewsExchange::broadcastNews(Milliseconds now, Actions& actions)
 {
     this->members.tick(now);
-    this->spreadAt = now;
-    const peers::PeerMessage message = this->newNews(this->spreadRevision, now);
-    this->spreadRevision = this->parts.store->view().revision();
+    this->lastBroadcastAt = now;
+    const peers::PeerMessage message = this->makeNews(this->broadcastRevision, now);
+    this->broadcastRevision = this->parts.store->view().revision();
     const auto branches = firstBranches(this->members.members(), this->options.tree, now);
-    this->sendOver(branches, message, actions);
-    this->tellOtherWatchers(message, now, actions);
+    this->sendToBranches(branches, message, actions);
+    this->sendToOtherWatchers(message, now, actions);
     if (!message.news().large_changes_follow())
         return;
     peers::PeerMessage follows;
     *follows.mutable_push() = this->parts.store->pushAfterNews(message.news());
     actions.emplace_back(
-        recordOfPush("changes_sent", this->options.self.incarnation(), follows.push(), *this->parts.store));
-    this->sendOver(branches, std::move(follows), actions);
+        pushRecord("changes_sent", this->options.self.incarnation(), follows.push(), *this->parts.store));
+    this->sendToBranches(branches, std::move(follows), actions);
 }
 
-void NewsExchange::tellOtherWatchers(const peers::PeerMessage& news, Milliseconds now, Actions& actions) const
+void NewsExchange::sendToOtherWatchers(const peers::PeerMessage& news, Milliseconds now, Actions& actions) const
 {
     const auto& list = this->members.members();
     for (const peers::Member& watcher : this->duty.watchers(now)) {
-        const bool isTold = std::any_of(list.begin(), list.end(), [&](const KnownMember& known) {
+        const bool isMember = std::any_of(list.begin(), list.end(), [&](const KnownMember& known) {
             return known.member.incarnation().name() == watcher.incarnation().name();
         });
-        if (!isTold)
+        if (!isMember)
             this->send(addressOf(watcher), news, actions);
     }
 }
 
-void NewsExchange::tellAtOnce(Milliseconds now, Actions& actions)
+void NewsExchange::notifyOthers(Milliseconds now, Actions& actions)
 {
     if (this->parts.store->isWatching())
-        this->spread(now, actions);
+        this->broadcastNews(now, actions);
     else
-        this->sayHello(now, actions);
+        this->sendHellos(now, actions);
 }
 
-Milliseconds NewsExchange::searchPause()
+Milliseconds NewsExchange::nextSearchDelay()
 {
     // The random part keeps instances that start together from sending to the seeds at the same moments.
-    const double doubling = std::exp2(static_cast<double>(std::min(this->searches++, MostSearchDoublings)));
+    const double doubling = std::exp2(static_cast<double>(std::min(this->failedSearches++, MaxSearchDoublings)));
     return this->options.searchInterval * doubling * (1 + SearchJitter * this->parts.random->unit());
 }
 
-void NewsExchange::sayHello(Milliseconds now, Actions& actions)
+void NewsExchange::sendHellos(Milliseconds now, Actions& actions)
 {
     const std::vector<peers::Member> watchers = this->duty.watchers(now);
     const bool isSearching = watchers.empty() && !this->parts.store->isWatching();
     if (!isSearching)
-        this->searches = 0;
-    this->nextHello = now + (isSearching ? this->searchPause() : this->options.helloInterval);
+        this->failedSearches = 0;
+    this->nextHello = now + (isSearching ? this->nextSearchDelay() : this->options.helloInterval);
     for (const peers::Member& watcher : watchers)
-        this->send(addressOf(watcher), this->newHello(now), actions);
+        this->send(addressOf(watcher), this->makeHello(now), actions);
     if (watchers.empty())
-        this->helloToSeeds(now, actions);
+        this->sendHellosToSeeds(now, actions);
 }
 
-void NewsExchange::helloToSeeds(Milliseconds now, Actions& actions)
+void NewsExchange::sendHellosToSeeds(Milliseconds now, Actions& actions)
 {
     this->nextSeeds = now + this->options.seedInterval;
     for (const NetworkAddress& seed : this->options.seeds) {
-        this->send(seed, this->newHello(now), actions);
+        this->send(seed, this->makeHello(now), actions);
         // Instances that search for a watcher ask the seeds, so the seeds must know this one.
         if (this->parts.store->isWatching())
-            this->send(seed, this->newNews(0, now), actions);
+            this->send(seed, this->makeNews(0, now), actions);
     }
     if (!this->duty.watchers(now).empty())
         return;
-    for (const NetworkAddress& contact : this->contacts.some(ContactsAsked, *this->parts.random))
-        this->send(contact, this->newHello(now), actions);
+    for (const NetworkAddress& contact : this->contacts.some(ContactsPerSearch, *this->parts.random))
+        this->send(contact, this->makeHello(now), actions);
 }
 
 void NewsExchange::tick(Milliseconds now, Actions& actions)
 {
     if (now >= this->nextHello)
-        this->sayHello(now, actions);
+        this->sendHellos(now, actions);
     // Watchers look for other watchers that they are not connected with, such as after a network partition.
     if (now >= this->nextSeeds && this->parts.store->isWatching())
-        this->helloToSeeds(now, actions);
-    if (now >= this->nextStillAsking() && this->parts.store->isWatching())
-        this->spread(now, actions);
-    if (now >= this->helpAt)
-        this->helpOthers(now, actions);
+        this->sendHellosToSeeds(now, actions);
+    if (now >= this->nextKeepAlive() && this->parts.store->isWatching())
+        this->broadcastNews(now, actions);
+    if (now >= this->sendViewAt)
+        this->sendViewToNewInstances(now, actions);
     this->pull(now, actions);
-    const auto isOver = [now](const InForceCall& call) { return now >= call.giveUp; };
+    const auto isOver = [now](const InForceCall& call) { return now >= call.deadline; };
     if (std::any_of(this->inForceCalls.begin(), this->inForceCalls.end(), isOver))
         this->answerInForce(this->knownMembers(now), now, actions);
 }
 
 Milliseconds NewsExchange::nextDue() const
 {
-    Milliseconds due = std::min({ this->nextHello, this->helpAt, this->pulls.nextDue() });
+    Milliseconds due = std::min({ this->nextHello, this->sendViewAt, this->pulls.nextDue() });
     if (this->parts.store->isWatching())
-        due = std::min({ due, this->nextSeeds, this->nextStillAsking() });
+        due = std::min({ due, this->nextSeeds, this->nextKeepAlive() });
     for (const InForceCall& call : this->inForceCalls)
-        due = std::min(due, call.giveUp);
-    const bool mayBegin = !this->parts.store->isWatching() && this->parts.store->view().revision();
-    return mayBegin ? std::min(due, this->duty.nextChange(this->parts.store->heardAt())) : due;
+        due = std::min(due, call.deadline);
+    const bool mayStartWatching = !this->parts.store->isWatching() && this->parts.store->view().revision();
+    return mayStartWatching ? std::min(due, this->duty.nextChange(this->parts.store->lastUpdateAt())) : due;
 }
 
 bool NewsExchange::shouldWatch(Milliseconds now)
@@ -468,22 +469,22 @@
     // Before the first read there is no revision to watch from.
     return this->parts.store->view().revision()
         && this->duty.shouldWatch(
-            this->parts.store->isWatching(), this->parts.store->heardAt(), this->instances(now), now);
+            this->parts.store->isWatching(), this->parts.store->lastUpdateAt(), this->instances(now), now);
 }
 
 std::size_t NewsExchange::instances(Milliseconds now) const
 {
     const std::size_t known = this->members.size() + 1;
-    return now - this->toldInstancesAt > CountKept ? known : std::max(known, this->toldInstances);
+    return now - this->instancesReportedAt > ReportedCountLifetime ? known : std::max(known, this->reportedInstances);
 }
 
-void NewsExchange::askMembers(OperatorCallNumber call, Milliseconds now, Actions& actions)
+void NewsExchange::requestMembers(OperatorCallNumber call, Milliseconds now, Actions& actions)
 {
-    this->inForceCalls.push_back({ .call = call, .giveUp = now + InForcePatience });
+    this->inForceCalls.push_back({ .call = call, .deadline = now + InForceTimeout });
     const std::vector<peers::Member> watchers = this->duty.watchers(now);
     if (this->parts.store->isWatching() || watchers.empty())
         return this->answerInForce(this->knownMembers(now), now, actions);
-    this->send(addressOf(watchers.front()), this->newHello(now), actions);
+    this->send(addressOf(watchers.front()), this->makeHello(now), actions);
     peers::PeerMessage message;
     message.mutable_members_pull();
     this->send(addressOf(watchers.front()), std::move(message), actions);
--- a/Source/Node/NewsExchange.h
+++ b/Source/Node/NewsExchange.h
@@ -56,12 +56,12 @@
          * longer than a watch call without changes (1.2 s), and 150 ms shorter than the age at which other instances
          * consider their store view stale.
          */
-        Milliseconds stillAskingInterval{ 1300 };
+        Milliseconds keepAliveInterval{ 1300 };
         /**
          * Time in which new instances are collected before all of them are sent the view over one tree. Sent one by
          * one, the view takes 0.7 s of a strong instance's link for 473 instances.
          */
-        Milliseconds helpInterval{ 30 };
+        Milliseconds newInstanceInterval{ 30 };
         MemberTable::Options members;
         WatchDuty::Options duty;
         NewsTreeOptions tree;
@@ -82,13 +82,13 @@
 
     void receive(const peers::PeerMessage& message, Milliseconds now, Actions& actions);
     /** Sends a gossip update to all instances, after the store confirmed or changed the local view. */
-    void spread(Milliseconds now, Actions& actions);
+    void broadcastNews(Milliseconds now, Actions& actions);
     /** On the first call with a store view, announces it to the seeds and sends it to instances that have none. */
-    void viewChanged(Milliseconds now, Actions& actions);
+    void announceFirstView(Milliseconds now, Actions& actions);
     /** Sends what was learned here, such as a leaving notice, to the other instances without delay. */
-    void tellAtOnce(Milliseconds now, Actions& actions);
+    void notifyOthers(Milliseconds now, Actions& actions);
     /** Sends a hello, with what was learned here, to the instances that watch the store. */
-    void tellWatchers(Milliseconds now, Actions& actions) { this->sayHello(now, actions); }
+    void notifyWatchers(Milliseconds now, Actions& actions) { this->sendHellos(now, actions); }
     void setSeeds(std::vector<NetworkAddress> seeds);
     void tick(Milliseconds now, Actions& actions);
     Milliseconds nextDue() const;
@@ -106,7 +106,7 @@
         return this->duty.firstBefore(this->isWatching(), now);
     }
     /** A call from this instance to the store failed. */
-    void askedInVain() { this->duty.askedInVain(); }
+    void storeCallFailed() { this->duty.askedInVain(); }
     /** Other instances that sent a hello to this one recently. */
     const std::vector<KnownMember>& knownInstances() const { return this->members.members(); }
     /** Null when no instance of this name was heard from recently. */
@@ -114,54 +114,54 @@
     /** Number of known instances in the fleet, this one included. */
     std::size_t instances(Milliseconds now) const;
     /** Asks a watcher for all instances and their revisions; the answer is appended as an AnswerInForce action. */
-    void askMembers(OperatorCallNumber call, Milliseconds now, Actions& actions);
+    void requestMembers(OperatorCallNumber call, Milliseconds now, Actions& actions);
 
 private:
     /** Identifies the latest gossip update of an origin. */
     struct LastNews {
-        std::uint64_t life = 0;
+        std::uint64_t incarnation = 0;
         std::uint64_t number = 0;
-        Milliseconds heardAt = LongAgo;
+        Milliseconds receivedAt = LongAgo;
     };
 
     /** An operator's pending question which revision is in force on each instance. */
     struct InForceCall {
         OperatorCallNumber call = 0;
-        Milliseconds giveUp;
+        Milliseconds deadline;
     };
 
     void send(const NetworkAddress& address, peers::PeerMessage message, Actions& actions) const;
     /** Replies to an instance whose address is known from an earlier hello; otherwise does nothing. */
     void answer(const peers::Incarnation& asker, const peers::PeerMessage& message, Actions& actions) const;
-    void helloReceived(const peers::Hello& hello, Milliseconds now, Actions& actions);
-    void watchersReceived(const peers::Watchers& message, Milliseconds now, Actions& actions);
-    void membersReceived(const peers::MembersPush& message, Milliseconds now, Actions& actions);
+    void handleHello(const peers::Hello& hello, Milliseconds now, Actions& actions);
+    void handleWatchers(const peers::Watchers& message, Milliseconds now, Actions& actions);
+    void handleMembersPush(const peers::MembersPush& message, Milliseconds now, Actions& actions);
     /** True for an update that is newer than all earlier ones of its origin. */
     bool isNewer(const peers::News& news, Milliseconds now);
-    void newsReceived(const peers::PeerMessage& message, Milliseconds now, Actions& actions);
-    void pushReceived(const peers::PeerMessage& message, Milliseconds now, Actions& actions);
+    void handleNews(const peers::PeerMessage& message, Milliseconds now, Actions& actions);
+    void handlePush(const peers::PeerMessage& message, Milliseconds now, Actions& actions);
     /** Forwards an update or a push to the receivers that it lists. */
     void relay(const peers::PeerMessage& message, Actions& actions) const;
     /**
      * Sends the update to watchers that are not among the known members. An instance that has just regained the store
      * may be known to nobody else; the watchers make it known to the fleet.
      */
-    void tellOtherWatchers(const peers::PeerMessage& news, Milliseconds now, Actions& actions) const;
-    Milliseconds nextStillAsking() const { return this->spreadAt + this->options.stillAskingInterval; }
-    void sendOver(const std::vector<NewsBranch>& branches, peers::PeerMessage message, Actions& actions) const;
+    void sendToOtherWatchers(const peers::PeerMessage& news, Milliseconds now, Actions& actions) const;
+    Milliseconds nextKeepAlive() const { return this->lastBroadcastAt + this->options.keepAliveInterval; }
+    void sendToBranches(const std::vector<NewsBranch>& branches, peers::PeerMessage message, Actions& actions) const;
     /** True when this instance sends its member list to new watchers: it leads, or knows no watcher. */
-    bool introducesOthers(Milliseconds now) const;
+    bool shouldIntroduceMembers(Milliseconds now) const;
     /** Sends the known members to a new watcher, if it is one of those that this instance wants updates from. */
     void introduceMembers(const peers::Member& watcher, Milliseconds now, Actions& actions) const;
     /** Sends a pull for missing changes, when one is due. */
     void pull(Milliseconds now, Actions& actions);
     /** Sends the whole store view to all members that have none. */
-    void helpOthers(Milliseconds now, Actions& actions);
-    Milliseconds searchPause();
-    peers::PeerMessage newHello(Milliseconds now) const;
-    peers::PeerMessage newNews(StoreRevision since, Milliseconds now);
-    void sayHello(Milliseconds now, Actions& actions);
-    void helloToSeeds(Milliseconds now, Actions& actions);
+    void sendViewToNewInstances(Milliseconds now, Actions& actions);
+    Milliseconds nextSearchDelay();
+    peers::PeerMessage makeHello(Milliseconds now) const;
+    peers::PeerMessage makeNews(StoreRevision since, Milliseconds now);
+    void sendHellos(Milliseconds now, Actions& actions);
+    void sendHellosToSeeds(Milliseconds now, Actions& actions);
     peers::MembersPush knownMembers(Milliseconds now) const;
     void answerInForce(const peers::MembersPush& members, Milliseconds now, Actions& actions);
 
@@ -173,16 +173,17 @@
     PullPlan pulls;
     std::map<std::string, LastNews> lastNews; // by origin
     std::uint64_t newsNumber = 0;
-    StoreRevision spreadRevision = 0; // of the last update; all receivers but new ones have at least this
-    std::size_t toldInstances = 1;
-    Milliseconds toldInstancesAt = LongAgo;
+    StoreRevision broadcastRevision = 0; // of the last update; all receivers but new ones have at least this
+    std::size_t reportedInstances = 1;
+    Milliseconds instancesReportedAt = LongAgo;
     Milliseconds nextHello = LongAgo;
     Milliseconds nextSeeds = LongAgo;
-    Milliseconds spreadAt = LongAgo;
-    bool hasView = false; // the first store view was announced
-    Milliseconds helpAt = Never; // when to send the view to instances that have none
-    unsigned searches = 0; // consecutive searches that found no watcher
-    bool asksByThemselves = false; // request values not packed against a base: the last push could not be unpacked
+    Milliseconds lastBroadcastAt = LongAgo;
+    bool hasAnnouncedView = false; // the first store view was announced
+    Milliseconds sendViewAt = Never; // when to send the view to instances that have none
+    unsigned failedSearches = 0; // consecutive searches that found no watcher
+    bool needsValuesWithoutBase
+        = false; // request values not packed against a base: the last push could not be unpacked
     std::vector<InForceCall> inForceCalls;
 };
 
--- a/Source/Node/NewsRecords.cpp
+++ b/Source/Node/NewsRecords.cpp
@@ -2,7 +2,7 @@
 
 namespace burlreach {
 
-DecisionRecord recordOfIncomplete(const peers::News& news, const StoreKeeper& store, Milliseconds now)
+DecisionRecord incompleteNewsRecord(const peers::News& news, const StoreKeeper& store, Milliseconds now)
 {
     return beliefOf("news_incomplete", news.origin().incarnation().name())
         .with("base", news.base_revision())
@@ -13,7 +13,7 @@
         .with("confirmed_age", (now - store.confirmedAt()).count);
 }
 
-DecisionRecord recordOfPush(
+DecisionRecord pushRecord(
     std::string_view event, const peers::Incarnation& other, const peers::Push& push, const StoreKeeper& store)
 {
     return beliefOf(event, other.name())
--- a/Source/Node/NewsRecords.h
+++ b/Source/Node/NewsRecords.h
@@ -9,9 +9,9 @@
 namespace burlreach {
 
 /** Logs a gossip update whose changes are incomplete: earlier changes or large ones are missing. */
-DecisionRecord recordOfIncomplete(const peers::News& news, const StoreKeeper& store, Milliseconds now);
+DecisionRecord incompleteNewsRecord(const peers::News& news, const StoreKeeper& store, Milliseconds now);
 /** Logs a push sent to, or received from, the other instance. */
-DecisionRecord recordOfPush(
+DecisionRecord pushRecord(
     std::string_view event, const peers::Incarnation& other, const peers::Push& push, const StoreKeeper& store);
 
 }
--- a/Source/Node/Node.cpp
+++ b/Source/Node/Node.cpp
@@ -1,7 +1,7 @@
 #include "Node/Node.h"
 
-#include "Node/BeliefRecords.h"
-#include "Node/NodeParts.h"
+#include "Node/KnowledgeRecords.h"
+#include "Node/NodeComponentOptions.h"
 
 #include <algorithm>
 #include <utility>
@@ -11,10 +11,10 @@
 namespace {
 
 /** A copy of the store that was not confirmed for this long is logged and counted as stale. */
-constexpr Milliseconds StaleSpell{ 3000 };
+constexpr Milliseconds StaleAfter{ 3000 };
 
 /** For a larger batch, such as the first read of the store, one summary line replaces the lines per item. */
-constexpr std::size_t MostLinesAtOnce = 50;
+constexpr std::size_t MaxLinesPerBatch = 50;
 
 }
 
@@ -83,16 +83,16 @@
 void Node::handle(const Event& event, Milliseconds now, Actions& actions)
 {
     std::visit([&](const auto& item) { this->dispatch(item, now, actions); }, event);
-    this->passOnLeaving(now, actions);
-    this->passOnLimits(now, actions);
-    this->passOnCrashes(now, actions);
+    this->shareLeavingSigns(now, actions);
+    this->shareLimits(now, actions);
+    this->shareCrashes(now, actions);
     if (now >= this->rollouts.nextTelling()) {
         this->rollouts.told();
-        this->news.tellWatchers(now, actions);
+        this->news.notifyWatchers(now, actions);
     }
-    for (AnswerChange& answer : this->changeAnswers)
+    for (AnswerChange& answer : this->pendingChangeAnswers)
         actions.emplace_back(std::move(answer));
-    this->changeAnswers.clear();
+    this->pendingChangeAnswers.clear();
 }
 
 void Node::dispatch(const RequestArrived& event, Milliseconds now, Actions& actions)
@@ -121,7 +121,7 @@
 void Node::dispatch(const ServerNoticed& event, Milliseconds now, Actions& actions)
 {
     if (event.notice.isLeaving)
-        this->signs.heard(event.backendServer, event.life, now);
+        this->signs.addOwn(event.backendServer, event.life, now);
     this->limits.heard(event, now, actions);
     if (!this->pauses.heard(event, now))
         return;
@@ -163,31 +163,31 @@
     this->crashes.checked(event, now, actions);
 }
 
-void Node::passOnLeaving(Milliseconds now, Actions& actions)
+void Node::shareLeavingSigns(Milliseconds now, Actions& actions)
 {
-    const std::vector<LeavingServer> found = this->signs.takeFound();
+    const std::vector<LeavingServer> found = this->signs.takeNewlyLeaving();
     if (found.empty())
         return;
-    bool isHeardHere = false;
+    bool hasOwnNotice = false;
     for (const LeavingServer& server : found) {
-        isHeardHere = isHeardHere || server.isHeardHere;
+        hasOwnNotice = hasOwnNotice || server.isFromServer;
         actions.emplace_back(beliefOf("leaving_sign", server.backendServer)
-                                 .with("heard_from", server.isHeardHere ? "server" : "news")
+                                 .with("heard_from", server.isFromServer ? "server" : "news")
                                  .with("confirmed_age", (now - this->store.confirmedAt()).count));
         // Attempts that were assigned to this server but not yet written are sent to another one.
         actions.emplace_back(StopSendingTo{ .backendServer = server.backendServer });
     }
-    if (isHeardHere || this->store.isWatching())
-        this->news.tellAtOnce(now, actions);
+    if (hasOwnNotice || this->store.isWatching())
+        this->news.notifyOthers(now, actions);
     // Requests that wait for one of these servers need another server or must be refused.
     this->flow.capacityChanged(now, actions);
 }
 
-void Node::passOnLimits(Milliseconds now, Actions& actions)
+void Node::shareLimits(Milliseconds now, Actions& actions)
 {
     if (now >= this->limits.nextTelling()) {
         this->limits.told();
-        this->news.tellAtOnce(now, actions);
+        this->news.notifyOthers(now, actions);
     }
     if (this->limits.takeChanged())
         this->flow.capacityChanged(now, actions);
@@ -202,7 +202,7 @@
         return this->flow.creditDecided(now, actions);
     }
     this->news.receive(event.message, now, actions);
-    this->askStore(now, actions);
+    this->callStore(now, actions);
 }
 
 StoreAnswer Node::withoutSecrets(const StoreAnswer& answer) const
@@ -222,19 +222,19 @@
         || this->rollouts.answered(event.answer, now);
     if (!isForWriters && this->store.answered(this->withoutSecrets(event.answer), now, actions)
         && this->store.isWatching())
-        this->news.spread(now, actions);
+        this->news.broadcastNews(now, actions);
     if (this->store.hasFailed())
-        this->news.askedInVain();
-    this->news.viewChanged(now, actions);
+        this->news.storeCallFailed();
+    this->news.announceFirstView(now, actions);
     if (const auto written = this->changes.takeWritten())
-        this->store.takeWritten(*written, now, actions);
+        this->store.applyWritten(*written, now, actions);
     if (const auto written = this->crashRecorder.takeWritten())
-        this->store.takeWritten(*written, now, actions);
+        this->store.applyWritten(*written, now, actions);
     if (const auto written = this->quotas.takeWritten())
-        this->store.takeWritten(*written, now, actions);
+        this->store.applyWritten(*written, now, actions);
     if (const auto written = this->rollouts.takeWritten())
-        this->store.takeWritten(*written, now, actions);
-    this->askStore(now, actions);
+        this->store.applyWritten(*written, now, actions);
+    this->callStore(now, actions);
 }
 
 void Node::dispatch(const SeedsChanged& event, Milliseconds, Actions&)
@@ -245,19 +245,19 @@
 void Node::dispatch(const ChangeAsked& event, Milliseconds now, Actions& actions)
 {
     this->changes.start(event.call, event.request, now);
-    this->askStore(now, actions);
+    this->callStore(now, actions);
 }
 
 void Node::dispatch(const InForceAsked& event, Milliseconds now, Actions& actions)
 {
-    this->news.askMembers(event.call, now, actions);
+    this->news.requestMembers(event.call, now, actions);
 }
 
 void Node::dispatch(const StopAsked&, Milliseconds now, Actions& actions)
 {
     // Only new requests stop: requests still running here must not act on stale data, so store updates continue.
     this->stopping = true;
-    this->askStore(now, actions);
+    this->callStore(now, actions);
 }
 
 void Node::dispatch(const RequestTimer&, Milliseconds now, Actions& actions)
@@ -269,36 +269,36 @@
 {
     this->news.tick(now, actions);
     this->crashes.tick(now);
-    for (const BackendServerChange& change : this->services.endLapses(now))
-        actions.emplace_back(this->backendServerChanged(change, now, actions).with("heard_from", "nobody"));
+    for (const BackendServerChange& change : this->services.removeExpiredLapses(now))
+        actions.emplace_back(this->handleBackendServerChange(change, now, actions).with("heard_from", "nobody"));
     const std::size_t members = this->news.instances(now);
     this->fleetSize.counted(members, now);
     this->services.setInstances({ .known = members, .atLeast = this->fleetSize.atLeast(now) });
     this->quotas.setInstances(this->fleetSize.atLeast(now));
     this->limits.tick(this->fleetSize.atLeast(now), now);
     this->probes.setFleet(members, this->services.dataCentres());
-    this->askStore(now, actions);
-    this->noteStaleness(now, actions);
+    this->callStore(now, actions);
+    this->logStaleness(now, actions);
 }
 
-void Node::askStore(Milliseconds now, Actions& actions)
+void Node::callStore(Milliseconds now, Actions& actions)
 {
-    this->store.ask(this->news.shouldWatch(now), now, actions);
+    this->store.callIfDue(this->news.shouldWatch(now), now, actions);
     while (auto request = this->changes.next(now))
         actions.emplace_back(AskStore{ .request = std::move(*request) });
     if (auto request = this->quotas.nextCall(this->stopping, now))
         actions.emplace_back(AskStore{ .request = std::move(*request) });
     if (auto request = this->rollouts.nextCall(now))
         actions.emplace_back(AskStore{ .request = std::move(*request) });
-    this->noteWatching(actions);
+    this->logWatching(actions);
 }
 
-void Node::passOnCrashes(Milliseconds now, Actions& actions)
+void Node::shareCrashes(Milliseconds now, Actions& actions)
 {
     this->crashes.lookAgain(now, actions);
     if (now >= this->crashes.nextTelling()) {
         this->crashes.told(now);
-        this->news.tellAtOnce(now, actions);
+        this->news.notifyOthers(now, actions);
     }
     if (this->crashes.takeChanged())
         this->crashRecorder.changed(now);
@@ -311,7 +311,7 @@
         actions.emplace_back(AskStore{ .request = std::move(*request) });
 }
 
-void Node::takeKeptCrashes(const StoreItem& item, Milliseconds now, Actions& actions)
+void Node::applyStoredCrashes(const StoreItem& item, Milliseconds now, Actions& actions)
 {
     if (item.removed)
         return;
@@ -322,7 +322,7 @@
                              .with("revision", item.revision));
 }
 
-void Node::noteWatching(Actions& actions)
+void Node::logWatching(Actions& actions)
 {
     if (this->store.isWatching() == this->wasWatching)
         return;
@@ -331,9 +331,9 @@
                              .with("revision", this->store.view().revision()));
 }
 
-void Node::noteStaleness(Milliseconds now, Actions& actions)
+void Node::logStaleness(Milliseconds now, Actions& actions)
 {
-    const bool isStale = now - this->store.confirmedAt() > StaleSpell;
+    const bool isStale = now - this->store.confirmedAt() > StaleAfter;
     if (isStale == this->wasStale)
         return;
     this->wasStale = isStale;
@@ -346,7 +346,7 @@
 
 Milliseconds Node::nextControlDue() const
 {
-    Milliseconds due = std::min({ this->news.nextDue(), this->changes.nextDue(), this->services.nextLapseEnd(),
+    Milliseconds due = std::min({ this->news.nextDue(), this->changes.nextDue(), this->services.nextLapseExpiry(),
         this->crashes.nextDue(), this->crashRecorder.nextDue(), this->quotas.nextControlDue(), this->rollouts.nextDue(),
         this->limits.nextTelling() });
     if (this->store.isWatching() || !this->store.view().revision())
@@ -354,38 +354,38 @@
     return due;
 }
 
-void Node::itemsChanged(std::span<const StoreItem> items, FactSource source, Milliseconds now, Actions& actions)
+void Node::itemsChanged(std::span<const StoreItem> items, ChangeSource source, Milliseconds now, Actions& actions)
 {
-    this->hearsMany = items.size() > MostLinesAtOnce;
+    this->isLargeBatch = items.size() > MaxLinesPerBatch;
     for (const StoreItem& item : items) {
         if (item.key == CrashesKey)
-            this->takeKeptCrashes(item, now, actions);
+            this->applyStoredCrashes(item, now, actions);
         else if (item.key == GrantorKey)
-            actions.emplace_back(recordOfGrantor(item, source));
+            actions.emplace_back(grantorRecord(item, source));
         else if (item.key.starts_with(RolloutPrefix))
             this->rollouts.stateChanged(item, now, actions);
         else if (item.value.size() < LargeValueBytes)
-            this->adopt(*translateItem(*this->options.translator, item, source), now, actions);
+            this->apply(*translateItem(*this->options.translator, item, source), now, actions);
         else
             actions.emplace_back(TranslateItem{ .item = item, .source = source });
     }
-    if (this->hearsMany) {
+    if (this->isLargeBatch) {
         actions.emplace_back(beliefOf("items_changed", this->options.name)
                                  .with("items", std::uint64_t{ items.size() })
                                  .with("heard_from", nameOf(source))
                                  .with("backend_servers", std::uint64_t{ this->services.backendServers() }));
     }
-    this->hearsMany = false;
+    this->isLargeBatch = false;
     this->flow.capacityChanged(now, actions);
 }
 
 void Node::dispatch(const ItemTranslated& event, Milliseconds now, Actions& actions)
 {
-    this->adopt(*event.item, now, actions);
+    this->apply(*event.item, now, actions);
     this->flow.capacityChanged(now, actions);
 }
 
-void Node::adopt(const TranslatedItem& item, Milliseconds now, Actions& actions)
+void Node::apply(const TranslatedItem& item, Milliseconds now, Actions& actions)
 {
     for (const Finding& finding : item.facts.findings.all()) {
         this->decisionCounters.add(DecisionCount::ConfigurationsUnreadable);
@@ -397,16 +397,16 @@
     // Large items are translated asynchronously, so a later small one may already have been applied.
     const bool isOvertaken = item.routing && item.revision < this->routingRevision;
     if (item.routing && !isOvertaken)
-        this->adoptRouting(item, now, actions);
+        this->applyRouting(item, now, actions);
     if (isOvertaken)
         return;
-    this->adoptDataCentres(item, now, actions);
-    this->adoptBackendServers(item, now, actions);
+    this->applyDataCentres(item, now, actions);
+    this->applyBackendServers(item, now, actions);
     this->rollouts.ordered(item.facts, now, actions);
     this->rollouts.apply();
 }
 
-void Node::adoptRouting(const TranslatedItem& item, Milliseconds now, Actions& actions)
+void Node::applyRouting(const TranslatedItem& item, Milliseconds now, Actions& actions)
 {
     const CallerLimits before = this->services.current().callerLimits;
     const bool isFirst = !this->services.isConfigured();
@@ -416,7 +416,7 @@
     this->decisionCounters.add(DecisionCount::ConfigurationsAdopted);
     if (isFirst || before != next.callerLimits)
         actions.emplace_back(SetCallerLimits{ .limits = next.callerLimits });
-    addRecordsOfSplits(next, MostLinesAtOnce, actions);
+    addSplitRouteRecords(next, MaxLinesPerBatch, actions);
     actions.emplace_back(beliefOf("configuration_in_force", item.key)
                              .with("version", next.version)
                              .with("revision", item.revision)
@@ -427,7 +427,7 @@
                              .with("confirmed_age", (now - this->store.confirmedAt()).count));
 }
 
-void Node::adoptDataCentres(const TranslatedItem& item, Milliseconds now, Actions& actions)
+void Node::applyDataCentres(const TranslatedItem& item, Milliseconds now, Actions& actions)
 {
     for (const DataCentreOrder& order : this->services.setDataCentres(item.facts, now)) {
         actions.emplace_back(beliefOf(order.emptied ? "data_centre_emptied" : "data_centre_in_use", order.dataCentre)
@@ -442,19 +442,19 @@
     }
 }
 
-void Node::adoptBackendServers(const TranslatedItem& item, Milliseconds now, Actions& actions)
+void Node::applyBackendServers(const TranslatedItem& item, Milliseconds now, Actions& actions)
 {
-    const Milliseconds lapsesUntil = this->store.lapsesUntil(now);
-    for (const BackendServerChange& change : this->services.setBackendServers(item.facts, lapsesUntil, now)) {
-        if (this->hearsMany && change.kind == BackendServerChange::Kind::Added)
+    const Milliseconds lapseDeadline = this->store.lapseDeadline(now);
+    for (const BackendServerChange& change : this->services.setBackendServers(item.facts, lapseDeadline, now)) {
+        if (this->isLargeBatch && change.kind == BackendServerChange::Kind::Added)
             continue;
-        actions.emplace_back(this->backendServerChanged(change, now, actions)
+        actions.emplace_back(this->handleBackendServerChange(change, now, actions)
                                  .with("revision", item.revision)
                                  .with("heard_from", nameOf(item.source)));
     }
 }
 
-DecisionRecord Node::backendServerChanged(const BackendServerChange& change, Milliseconds now, Actions& actions)
+DecisionRecord Node::handleBackendServerChange(const BackendServerChange& change, Milliseconds now, Actions& actions)
 {
     // A restart closes existing connections just as a removal does.
     const bool isOver = change.kind == BackendServerChange::Kind::Gone
@@ -473,7 +473,7 @@
 
 void Node::changeAnswered(OperatorCallNumber call, const v1::ChangeAnswer& answer)
 {
-    this->changeAnswers.push_back({ .call = call, .answer = answer });
+    this->pendingChangeAnswers.push_back({ .call = call, .answer = answer });
 }
 
 bool Node::isReady() const
--- a/Source/Node/Node.h
+++ b/Source/Node/Node.h
@@ -119,27 +119,27 @@
     void dispatch(const ControlTimer& event, Milliseconds now, Actions& actions);
 
     void itemsChanged(
-        std::span<const StoreItem> changes, FactSource source, Milliseconds now, Actions& actions) override;
+        std::span<const StoreItem> changes, ChangeSource source, Milliseconds now, Actions& actions) override;
     void changeAnswered(OperatorCallNumber call, const v1::ChangeAnswer& answer) override;
     /** A copy of the answer with secrets replaced by digests, which may be kept and sent to other instances. */
     StoreAnswer withoutSecrets(const StoreAnswer& answer) const;
     /** Applies the facts of a store item to this instance. */
-    void adopt(const TranslatedItem& item, Milliseconds now, Actions& actions);
-    void adoptRouting(const TranslatedItem& item, Milliseconds now, Actions& actions);
-    void adoptBackendServers(const TranslatedItem& item, Milliseconds now, Actions& actions);
-    void adoptDataCentres(const TranslatedItem& item, Milliseconds now, Actions& actions);
+    void apply(const TranslatedItem& item, Milliseconds now, Actions& actions);
+    void applyRouting(const TranslatedItem& item, Milliseconds now, Actions& actions);
+    void applyBackendServers(const TranslatedItem& item, Milliseconds now, Actions& actions);
+    void applyDataCentres(const TranslatedItem& item, Milliseconds now, Actions& actions);
     /** Drops state and connections that the change makes invalid; returns the change's log record. */
-    DecisionRecord backendServerChanged(const BackendServerChange& change, Milliseconds now, Actions& actions);
-    void askStore(Milliseconds now, Actions& actions);
+    DecisionRecord handleBackendServerChange(const BackendServerChange& change, Milliseconds now, Actions& actions);
+    void callStore(Milliseconds now, Actions& actions);
     /** Sends new evidence about requests that crash servers to other instances and to the store. */
-    void passOnCrashes(Milliseconds now, Actions& actions);
-    void takeKeptCrashes(const StoreItem& item, Milliseconds now, Actions& actions);
-    void noteStaleness(Milliseconds now, Actions& actions);
-    void noteWatching(Actions& actions);
+    void shareCrashes(Milliseconds now, Actions& actions);
+    void applyStoredCrashes(const StoreItem& item, Milliseconds now, Actions& actions);
+    void logStaleness(Milliseconds now, Actions& actions);
+    void logWatching(Actions& actions);
     /** Stops unsent attempts to servers newly found to be leaving, and notifies other instances. */
-    void passOnLeaving(Milliseconds now, Actions& actions);
+    void shareLeavingSigns(Milliseconds now, Actions& actions);
     /** Sends limits named by servers to other instances, and continues requests that waited for permits. */
-    void passOnLimits(Milliseconds now, Actions& actions);
+    void shareLimits(Milliseconds now, Actions& actions);
 
     Options options;
     bool stopping = false;
@@ -163,8 +163,8 @@
     ProbeDesk probes;
     RequestFlow flow;
     ChangeCoordinator changes;
-    std::vector<AnswerChange> changeAnswers; // appended to the actions at the end of the event
-    bool hearsMany = false; // the items being applied are too many to log one line each
+    std::vector<AnswerChange> pendingChangeAnswers; // appended to the actions at the end of the event
+    bool isLargeBatch = false; // the items being applied are too many to log one line each
     bool wasWatching = false;
     bool wasStale = true;
 };
--- a/Source/Node/NodeParts.cpp
+++ b/Source/Node/NodeComponentOptions.cpp
@@ -1,4 +1,4 @@
-#include "Node/NodeParts.h"
+#include "Node/NodeComponentOptions.h"
 
 #include "Routing/LoadAwarePolicy.h"
 
@@ -23,11 +23,11 @@
 Milliseconds firstReadingSpread(std::uint32_t capacity)
 {
     constexpr Milliseconds longest{ 1000 };
-    constexpr Milliseconds ofWholeProcessor{ 10 };
+    constexpr Milliseconds onWholeProcessor{ 10 };
     constexpr double percent = 100;
-    constexpr std::uint32_t usual = 20;
-    const double share = (capacity ? capacity : usual) / percent;
-    return std::min(longest, ofWholeProcessor * (1 / (share * share)));
+    constexpr std::uint32_t assumedCapacity = 20;
+    const double share = (capacity ? capacity : assumedCapacity) / percent;
+    return std::min(longest, onWholeProcessor * (1 / (share * share)));
 }
 
 }
--- a/Source/Node/ServiceState.cpp
+++ b/Source/Node/ServiceState.cpp
@@ -7,22 +7,22 @@
 namespace {
 
 /** Assumed response time before the first answer, as a fraction of the route's target latency. */
-constexpr double GuessedShare = 0.4;
-constexpr double SampleShare = 0.05;
+constexpr double InitialTimeShare = 0.4;
+constexpr double SmoothingFactor = 0.05;
 
 using TimesByRoute = std::unordered_map<std::string, Milliseconds>;
 
 Milliseconds meanOf(const TimesByRoute& times, const Route& route)
 {
     const auto known = times.find(route.name);
-    return known == times.end() ? route.targetLatency * GuessedShare : known->second;
+    return known == times.end() ? route.targetLatency * InitialTimeShare : known->second;
 }
 
 void addTo(TimesByRoute& times, const Route& route, Milliseconds took)
 {
     const auto [known, isFirst] = times.emplace(route.name, took);
     if (!isFirst)
-        known->second = known->second + (took - known->second) * SampleShare;
+        known->second = known->second + (took - known->second) * SmoothingFactor;
 }
 
 }
@@ -50,12 +50,12 @@
 
 Milliseconds ServiceState::usualTime(const Route& route) const
 {
-    return meanOf(this->usualTimes, route);
+    return meanOf(this->unloadedTimes, route);
 }
 
 Milliseconds ServiceState::spentBefore(const Route& route, Milliseconds timeLeft)
 {
-    return this->patience[route.name].spentBefore(timeLeft);
+    return this->callerPatience[route.name].spentBefore(timeLeft);
 }
 
 void ServiceState::answered(const Route& route, Milliseconds took)
@@ -65,7 +65,7 @@
 
 void ServiceState::answeredUnhindered(const Route& route, Milliseconds took)
 {
-    addTo(this->usualTimes, route, took);
+    addTo(this->unloadedTimes, route, took);
 }
 
 }
--- a/Source/Node/ServiceState.h
+++ b/Source/Node/ServiceState.h
@@ -50,8 +50,8 @@
 
 private:
     std::unordered_map<std::string, Milliseconds> meanTimes; // by route
-    std::unordered_map<std::string, Milliseconds> usualTimes; // by route
-    std::unordered_map<std::string, CallerPatience> patience; // by route
+    std::unordered_map<std::string, Milliseconds> unloadedTimes; // by route
+    std::unordered_map<std::string, CallerPatience> callerPatience; // by route
 };
 
 }
--- a/Source/Node/ServiceTable.cpp
+++ b/Source/Node/ServiceTable.cpp
@@ -33,9 +33,9 @@
     this->configured = true;
     ++this->routingCount;
     const auto customers = this->customers().all();
-    this->hasLimits = std::any_of(
+    this->hasCustomerLimits = std::any_of(
         customers.begin(), customers.end(), [](const Customer& customer) { return customer.limit.isSet(); });
-    this->forgetTurns();
+    this->dropStaleTurns();
     std::vector<std::shared_ptr<ServiceState>> kept;
     std::unordered_map<std::string, std::shared_ptr<ServiceState>> keptNames;
     for (const ServiceDescription& description : this->current().services) {
@@ -50,7 +50,7 @@
         state->configure(description, this->instances);
         for (const auto& [id, record] : this->records) {
             if (isNew && record.service == description.name)
-                this->putIn(*state, record, LongAgo);
+                this->addToPool(*state, record, LongAgo);
         }
         kept.push_back(state);
         keptNames[description.name] = std::move(state);
@@ -59,7 +59,7 @@
     this->byNames = std::move(keptNames);
 }
 
-void ServiceTable::forgetTurns()
+void ServiceTable::dropStaleTurns()
 {
     // Searches the routes for each turn, because few of the possibly many routes have several services.
     std::erase_if(this->turns, [&](const auto& item) {
@@ -78,27 +78,28 @@
         service->configure(ServiceDescription(service->description), this->instances);
 }
 
-void ServiceTable::put(const BackendServerRecord& record, Milliseconds now, std::vector<BackendServerChange>& changes)
+void ServiceTable::applyRecord(
+    const BackendServerRecord& record, Milliseconds now, std::vector<BackendServerChange>& changes)
 {
     const auto [known, isNew] = this->records.emplace(record.id, record);
     // A late write of an earlier process; the process of the higher life is the one that runs.
     if (record.life < known->second.life)
         return;
-    this->lapsed.erase(record.id);
+    this->lapsedUntil.erase(record.id);
     const BackendServerRecord before = std::exchange(known->second, record);
     if (before.service != record.service) {
         if (const auto service = this->byName(before.service))
             service->pool.remove(record.id);
     }
     if (const auto service = this->byName(record.service))
-        this->putIn(*service, record, now);
+        this->addToPool(*service, record, now);
     changes.push_back({ .kind = kindOf(before, record, isNew), .record = record });
 }
 
-void ServiceTable::putIn(ServiceState& service, const BackendServerRecord& record, Milliseconds now) const
+void ServiceTable::addToPool(ServiceState& service, const BackendServerRecord& record, Milliseconds now) const
 {
     const auto server = service.pool.put(record, now);
-    server->setEmptied(this->emptied.contains(record.dataCentre));
+    server->setEmptied(this->emptiedCentres.contains(record.dataCentre));
     // The server's notices and limit outlive its record, which may have been missing for a moment.
     const auto* limit = this->options.limits ? this->options.limits->find(record.id, record.life) : nullptr;
     if (limit && limit->perSecond)
@@ -112,10 +113,10 @@
         server->pauseUntil(pausedUntil);
 }
 
-void ServiceTable::order(const DataCentreOrder& order, Milliseconds now, std::vector<DataCentreOrder>& changes)
+void ServiceTable::applyOrder(const DataCentreOrder& order, Milliseconds now, std::vector<DataCentreOrder>& changes)
 {
-    const bool isNews
-        = order.emptied ? this->emptied.insert(order.dataCentre).second : this->emptied.erase(order.dataCentre) > 0;
+    const bool isNews = order.emptied ? this->emptiedCentres.insert(order.dataCentre).second
+                                      : this->emptiedCentres.erase(order.dataCentre) > 0;
     if (!isNews)
         return;
     for (const auto& service : this->services) {
@@ -136,15 +137,15 @@
 {
     std::vector<DataCentreOrder> changes;
     for (const DataCentreOrder& order : facts.dataCentres)
-        this->order(order, now, changes);
+        this->applyOrder(order, now, changes);
     if (!facts.areAllDataCentres)
         return changes;
-    const std::set<std::string> before = this->emptied;
+    const std::set<std::string> before = this->emptiedCentres;
     for (const std::string& dataCentre : before) {
         const bool isNamed = std::any_of(facts.dataCentres.begin(), facts.dataCentres.end(),
             [&](const DataCentreOrder& order) { return order.dataCentre == dataCentre; });
         if (!isNamed)
-            this->order({ .dataCentre = dataCentre, .emptied = false }, now, changes);
+            this->applyOrder({ .dataCentre = dataCentre, .emptied = false }, now, changes);
     }
     return changes;
 }
@@ -152,7 +153,7 @@
 void ServiceTable::remove(
     const std::string& id, BackendServerChange::Kind kind, std::vector<BackendServerChange>& changes)
 {
-    this->lapsed.erase(id);
+    this->lapsedUntil.erase(id);
     const auto known = this->records.find(id);
     if (known == this->records.end())
         return;
@@ -162,23 +163,23 @@
     this->records.erase(known);
 }
 
-bool ServiceTable::lapse(
+bool ServiceTable::keepAsLapsed(
     const std::string& id, Milliseconds until, Milliseconds now, std::vector<BackendServerChange>& changes)
 {
     const auto known = this->records.find(id);
     if (until <= now || known == this->records.end() || known->second.draining)
         return false;
-    const bool isNew = this->lapsed.emplace(id, until).second;
+    const bool isNew = this->lapsedUntil.emplace(id, until).second;
     if (isNew)
         changes.push_back({ .kind = BackendServerChange::Kind::Lapsed, .record = known->second });
     return true;
 }
 
-std::vector<BackendServerChange> ServiceTable::endLapses(Milliseconds now)
+std::vector<BackendServerChange> ServiceTable::removeExpiredLapses(Milliseconds now)
 {
     std::vector<BackendServerChange> changes;
     std::vector<std::string> ended;
-    for (const auto& [id, until] : this->lapsed) {
+    for (const auto& [id, until] : this->lapsedUntil) {
         if (until <= now)
             ended.push_back(id);
     }
@@ -187,22 +188,22 @@
     return changes;
 }
 
-Milliseconds ServiceTable::nextLapseEnd() const
+Milliseconds ServiceTable::nextLapseExpiry() const
 {
     Milliseconds next = Never;
-    for (const auto& [id, until] : this->lapsed)
+    for (const auto& [id, until] : this->lapsedUntil)
         next = std::min(next, until);
     return next;
 }
 
 std::vector<BackendServerChange> ServiceTable::setBackendServers(
-    const Facts& facts, Milliseconds lapsesUntil, Milliseconds now)
+    const Facts& facts, Milliseconds lapseDeadline, Milliseconds now)
 {
     std::vector<BackendServerChange> changes;
     for (const BackendServerRecord& record : facts.backendServers)
-        this->put(record, now, changes);
+        this->applyRecord(record, now, changes);
     for (const std::string& id : facts.goneBackendServers) {
-        if (!this->lapse(id, lapsesUntil, now, changes))
+        if (!this->keepAsLapsed(id, lapseDeadline, now, changes))
             this->remove(id, BackendServerChange::Kind::Gone, changes);
     }
     for (const std::string& id : facts.unusableBackendServers)
--- a/Source/Node/ServiceTable.h
+++ b/Source/Node/ServiceTable.h
@@ -36,12 +36,13 @@
     ServiceTable(Options options, Random& random);
 
     void setRouting(std::shared_ptr<const PreparedRouting> next);
-    /** Applies changed records. A removed record is kept as lapsed until `lapsesUntil`, if that is in the future. */
-    std::vector<BackendServerChange> setBackendServers(const Facts& facts, Milliseconds lapsesUntil, Milliseconds now);
+    /** Applies changed records. A removed record is kept as lapsed until `lapseDeadline`, if that is in the future. */
+    std::vector<BackendServerChange> setBackendServers(
+        const Facts& facts, Milliseconds lapseDeadline, Milliseconds now);
     /** Removes lapsed records that were not written again in time. */
-    std::vector<BackendServerChange> endLapses(Milliseconds now);
-    /** When the next lapsed record is due for endLapses(); Never when there is none. */
-    Milliseconds nextLapseEnd() const;
+    std::vector<BackendServerChange> removeExpiredLapses(Milliseconds now);
+    /** When the next lapsed record is due for removeExpiredLapses(); Never when there is none. */
+    Milliseconds nextLapseExpiry() const;
     /** Applies orders to empty data centres or to use them again; returns those that changed something. */
     std::vector<DataCentreOrder> setDataCentres(const Facts& facts, Milliseconds now);
     void setInstances(const FleetCount& count);
@@ -51,7 +52,7 @@
     std::uint64_t version() const { return this->current().version; }
     const RoutingConfiguration& current() const { return this->routing->configuration; }
     const CustomerTable& customers() const { return this->routing->customers; }
-    bool hasLimitedCustomers() const { return this->hasLimits; }
+    bool hasLimitedCustomers() const { return this->hasCustomerLimits; }
     /** Counts the configurations applied on this instance, so it identifies the one in force. */
     std::uint64_t routingNumber() const { return this->routingCount; }
     std::shared_ptr<const Route> route(std::string_view host, std::string_view method, std::string_view path) const;
@@ -69,36 +70,37 @@
     std::size_t dataCentres() const;
     /** Ids of the backend servers in the data centre. */
     std::vector<std::string> backendServersIn(std::string_view dataCentre) const;
-    const std::set<std::string>& emptiedDataCentres() const { return this->emptied; }
+    const std::set<std::string>& emptiedDataCentres() const { return this->emptiedCentres; }
     std::span<const std::shared_ptr<ServiceState>> all() const { return this->services; }
 
 private:
     /** Drops the weighted-selection state of routes that were removed or whose weights changed. */
-    void forgetTurns();
-    void put(const BackendServerRecord& record, Milliseconds now, std::vector<BackendServerChange>& changes);
+    void dropStaleTurns();
+    void applyRecord(const BackendServerRecord& record, Milliseconds now, std::vector<BackendServerChange>& changes);
     /**
      * Adds or updates the record in its service's pool, and applies to it what is known apart from the record: an
      * emptied data centre, and the server's own notices and limit.
      */
-    void putIn(ServiceState& service, const BackendServerRecord& record, Milliseconds now) const;
-    void order(const DataCentreOrder& order, Milliseconds now, std::vector<DataCentreOrder>& changes);
+    void addToPool(ServiceState& service, const BackendServerRecord& record, Milliseconds now) const;
+    void applyOrder(const DataCentreOrder& order, Milliseconds now, std::vector<DataCentreOrder>& changes);
     void remove(const std::string& id, BackendServerChange::Kind kind, std::vector<BackendServerChange>& changes);
     /** True when the removed record is kept as lapsed, because its lease may just have expired in a store outage. */
-    bool lapse(const std::string& id, Milliseconds until, Milliseconds now, std::vector<BackendServerChange>& changes);
+    bool keepAsLapsed(
+        const std::string& id, Milliseconds until, Milliseconds now, std::vector<BackendServerChange>& changes);
 
     Options options;
     Random* random;
     FleetCount instances;
     bool configured = false;
-    bool hasLimits = false; // of customers
+    bool hasCustomerLimits = false; // of customers
     std::uint64_t routingCount = 0;
     std::shared_ptr<const PreparedRouting> routing; // never null
     std::vector<std::shared_ptr<ServiceState>> services;
     std::unordered_map<std::string, std::shared_ptr<ServiceState>> byNames;
     std::map<std::string, BackendServerRecord, std::less<>> records;
     std::unordered_map<std::string, WeightedTurn> turns; // weighted selection of a service, by route
-    std::set<std::string> emptied; // data centres
-    std::map<std::string, Milliseconds> lapsed; // until when the removed record is kept, by id
+    std::set<std::string> emptiedCentres; // data centres
+    std::map<std::string, Milliseconds> lapsedUntil; // until when the removed record is kept, by id
 };
 
 }
--- a/Source/Node/StoreKeeper.cpp
+++ b/Source/Node/StoreKeeper.cpp
@@ -13,24 +13,24 @@
  * Without confirmation for longer than this the store counts as unavailable. An instance that receives no updates calls
  * the store itself within 1.7 s.
  */
-constexpr Milliseconds AwayAfter{ 2500 };
+constexpr Milliseconds StoreUnavailableAfter{ 2500 };
 /**
  * How long after a store outage removed records are kept. According to the users
  * of burlreach, running backend servers have written their records again by
  * then. It is shorter than the 3 s within which an instance must be current after
  * a failure.
  */
-constexpr Milliseconds LapsedKept{ 2000 };
+constexpr Milliseconds LapsedRecordLifetime{ 2000 };
 /** Assumed network latency from one instance to another. */
-constexpr Milliseconds Transit{ 2 };
+constexpr Milliseconds PeerLatency{ 2 };
 /**
  * Maximum size of the changes in a gossip update. At each step of the tree an
  * instance sends them up to 8 times, which takes 0.1 s on a link of 10 Mbit/s.
  */
-constexpr std::size_t MostNewsBytes = 16384;
+constexpr std::size_t MaxUpdateChangeBytes = 16384;
 
 /** Shorter lists of items are sent uncompressed. */
-constexpr std::size_t LeastPackedBytes = 4096;
+constexpr std::size_t MinPackedBytes = 4096;
 
 std::size_t bytesOf(const peers::News& news)
 {
@@ -50,7 +50,7 @@
 {
 }
 
-void StoreKeeper::ask(bool shouldWatch, Milliseconds now, Actions& actions)
+void StoreKeeper::callIfDue(bool shouldWatch, Milliseconds now, Actions& actions)
 {
     if (auto request = this->reader.next(now, shouldWatch))
         actions.emplace_back(AskStore{ .request = std::move(*request) });
@@ -59,39 +59,40 @@
 bool StoreKeeper::answered(const StoreAnswer& answer, Milliseconds now, Actions& actions)
 {
     const StoreNews news = this->reader.answered(answer, now);
-    this->noteStore(answer, news.isFailure, now, actions);
+    this->recordCallResult(answer, news.isFailure, now, actions);
     if (news.isConfirmed)
-        this->noteConfirmed(news.confirmedAt, now);
+        this->markConfirmed(news.confirmedAt, now);
     if (news.isStaleReading)
-        this->readAt = now;
-    this->tell(news.changes, FactSource::Store, now, actions);
+        this->lastFullReadAt = now;
+    this->notifyListener(news.changes, ChangeSource::Store, now, actions);
     return news.isConfirmed;
 }
 
-void StoreKeeper::tell(const std::vector<StoreItem>& changes, FactSource source, Milliseconds now, Actions& actions)
+void StoreKeeper::notifyListener(
+    const std::vector<StoreItem>& changes, ChangeSource source, Milliseconds now, Actions& actions)
 {
     if (!changes.empty())
         this->listener->itemsChanged(changes, source, now, actions);
 }
 
-void StoreKeeper::noteStore(const StoreAnswer& answer, bool isFailure, Milliseconds now, Actions& actions)
+void StoreKeeper::recordCallResult(const StoreAnswer& answer, bool isFailure, Milliseconds now, Actions& actions)
 {
     this->counters->add(isFailure ? DecisionCount::StoreFailures : DecisionCount::StoreAnswers);
     this->failuresInARow = isFailure ? this->failuresInARow + 1 : 0;
-    if (this->storeAnswers != isFailure)
+    if (this->isStoreAnswering != isFailure)
         return;
-    this->storeAnswers = !isFailure;
+    this->isStoreAnswering = !isFailure;
     DecisionRecord record{ .topic = RecordTopic::Belief,
         .event = isFailure ? "store_lost" : "store_regained",
         .subject = "store",
         .fields = {} };
     record.with("status", nameOf(answer.status))
         .with("revision", this->storeView.revision())
-        .with("confirmed_age", (now - this->confirmed).count);
+        .with("confirmed_age", (now - this->lastConfirmedAt).count);
     actions.emplace_back(std::move(record));
 }
 
-std::vector<StoreItem> StoreKeeper::itemsOf(
+std::vector<StoreItem> StoreKeeper::decodeItems(
     const google::protobuf::RepeatedPtrField<peers::Item>& messages, bool& areAllRead, Actions& actions) const
 {
     std::vector<StoreItem> items;
@@ -112,50 +113,50 @@
     return items;
 }
 
-bool StoreKeeper::takeNews(const peers::News& news, Milliseconds now, Actions& actions)
+bool StoreKeeper::applyNews(const peers::News& news, Milliseconds now, Actions& actions)
 {
     if (news.store_revision() > this->storeView.revision()) {
         const bool isGapless = news.base_revision() && news.base_revision() <= this->storeView.revision();
         bool isComplete = isGapless && !news.large_changes_follow();
-        const std::vector<StoreItem> items = this->itemsOf(news.changes(), isComplete, actions);
+        const std::vector<StoreItem> items = this->decodeItems(news.changes(), isComplete, actions);
         // Changes are applied even when earlier ones are missing, so that a server's leaving takes effect without
         // waiting for a large document.
         const StoreRevision through = isComplete ? news.store_revision() : this->storeView.revision();
-        this->tell(this->storeView.applyChanges(items, through), FactSource::News, now, actions);
+        this->notifyListener(this->storeView.applyChanges(items, through), ChangeSource::News, now, actions);
         if (!isComplete)
             return false;
     }
     const Milliseconds age{ static_cast<double>(news.age_milliseconds()) };
     if (news.is_confirmed())
-        this->noteConfirmed(now - age - Transit, now);
+        this->markConfirmed(now - age - PeerLatency, now);
     return true;
 }
 
-void StoreKeeper::noteConfirmed(Milliseconds at, Milliseconds now)
+void StoreKeeper::markConfirmed(Milliseconds at, Milliseconds now)
 {
-    if (this->isAway(now))
-        this->returnedAt = now;
-    this->confirmed = std::max(this->confirmed, at);
+    if (this->isStoreUnavailable(now))
+        this->outageEndedAt = now;
+    this->lastConfirmedAt = std::max(this->lastConfirmedAt, at);
 }
 
-Milliseconds StoreKeeper::lapsesUntil(Milliseconds now) const
+Milliseconds StoreKeeper::lapseDeadline(Milliseconds now) const
 {
     // The first changes after an outage are applied before the view is confirmed, so the outage may not have ended yet.
-    return (this->isAway(now) ? now : this->returnedAt) + LapsedKept;
+    return (this->isStoreUnavailable(now) ? now : this->outageEndedAt) + LapsedRecordLifetime;
 }
 
-bool StoreKeeper::isAway(Milliseconds now) const
+bool StoreKeeper::isStoreUnavailable(Milliseconds now) const
 {
-    return this->confirmed != LongAgo && now - this->confirmed > AwayAfter;
+    return this->lastConfirmedAt != LongAgo && now - this->lastConfirmedAt > StoreUnavailableAfter;
 }
 
-void StoreKeeper::takeWritten(const StoreItem& item, Milliseconds now, Actions& actions)
+void StoreKeeper::applyWritten(const StoreItem& item, Milliseconds now, Actions& actions)
 {
     const auto changes = this->storeView.applyChanges(std::span(&item, 1), this->storeView.revision());
-    this->tell(changes, FactSource::OwnWrite, now, actions);
+    this->notifyListener(changes, ChangeSource::OwnWrite, now, actions);
 }
 
-bool StoreKeeper::takePush(const peers::Push& push, Milliseconds now, Actions& actions)
+bool StoreKeeper::applyPush(const peers::Push& push, Milliseconds now, Actions& actions)
 {
     if (push.store_revision() <= this->storeView.revision())
         return true;
@@ -170,14 +171,15 @@
         return false;
     }
     const auto& messages = push.packed_items().empty() ? push.items() : unpacked.items();
-    const std::vector<StoreItem> items = this->itemsOf(messages, areAllRead, actions);
+    const std::vector<StoreItem> items = this->decodeItems(messages, areAllRead, actions);
     const bool isGapless = push.base_revision() <= this->storeView.revision();
     const bool isEverything = !push.base_revision() && areAllRead;
     const StoreRevision through = isGapless && areAllRead ? push.store_revision() : this->storeView.revision();
     if (isEverything)
-        this->readAt = now;
-    this->tell(isEverything ? this->storeView.replaceAll(items, through) : this->storeView.applyChanges(items, through),
-        FactSource::Push, now, actions);
+        this->lastFullReadAt = now;
+    this->notifyListener(
+        isEverything ? this->storeView.replaceAll(items, through) : this->storeView.applyChanges(items, through),
+        ChangeSource::Push, now, actions);
     return areAllRead;
 }
 
@@ -187,10 +189,10 @@
     push.set_store_revision(this->storeView.revision());
     const StoreRevision since = pull.store_revision();
     if (!since)
-        return this->pushOfEverything();
+        return this->fullPush();
     const auto changes = this->storeView.changesSince(since);
     if (!changes)
-        return this->pushOfEverything();
+        return this->fullPush();
     push.set_base_revision(since);
     for (const StoreItem& item : *changes)
         this->packer.write(item, pull.by_themselves() ? 0 : since, *push.add_items());
@@ -198,16 +200,16 @@
     return push;
 }
 
-peers::Push StoreKeeper::pushOfEverything()
+peers::Push StoreKeeper::fullPush()
 {
-    if (this->everything.store_revision() == this->storeView.revision())
-        return this->everything;
+    if (this->fullPushCache.store_revision() == this->storeView.revision())
+        return this->fullPushCache;
     peers::Push push;
     push.set_store_revision(this->storeView.revision());
     for (const StoreItem& item : this->storeView.all())
         this->packer.write(item, 0, *push.add_items());
     pack(push);
-    this->everything = push;
+    this->fullPushCache = push;
     return push;
 }
 
@@ -216,7 +218,7 @@
     peers::ItemList list;
     list.mutable_items()->Swap(push.mutable_items());
     const std::string plain = list.SerializeAsString();
-    const std::string packed = plain.size() < LeastPackedBytes ? std::string() : packValue(plain, {});
+    const std::string packed = plain.size() < MinPackedBytes ? std::string() : packValue(plain, {});
     if (packed.empty()) {
         list.mutable_items()->Swap(push.mutable_items());
         return;
@@ -234,26 +236,26 @@
     return push;
 }
 
-void StoreKeeper::fill(peers::News& news, StoreRevision since, Milliseconds now)
+void StoreKeeper::fillNews(peers::News& news, StoreRevision since, Milliseconds now)
 {
     news.set_store_revision(this->storeView.revision());
-    news.set_is_confirmed(this->confirmed != LongAgo);
+    news.set_is_confirmed(this->lastConfirmedAt != LongAgo);
     if (news.is_confirmed())
-        news.set_age_milliseconds(static_cast<std::uint32_t>(std::max(0.0, (now - this->confirmed).count)));
+        news.set_age_milliseconds(static_cast<std::uint32_t>(std::max(0.0, (now - this->lastConfirmedAt).count)));
     const auto changes = since ? this->storeView.changesSince(since) : std::nullopt;
     if (!changes)
         return;
     news.set_base_revision(since);
     for (const StoreItem& item : *changes)
         this->packer.write(item, since, *news.add_changes());
-    if (bytesOf(news) <= MostNewsBytes)
+    if (bytesOf(news) <= MaxUpdateChangeBytes)
         return;
     news.set_large_changes_follow(true);
     auto& items = *news.mutable_changes();
     items.erase(std::remove_if(items.begin(), items.end(), [](const peers::Item& item) { return item.is_packed(); }),
         items.end());
     // Too many small changes for one update: all of them follow in the push.
-    if (bytesOf(news) > MostNewsBytes)
+    if (bytesOf(news) > MaxUpdateChangeBytes)
         items.Clear();
 }
 
--- a/Source/Node/TranslatedItem.h
+++ b/Source/Node/TranslatedItem.h
@@ -2,7 +2,7 @@
 
 #include "Configuration/FactTranslator.h"
 #include "Customers/CustomerTable.h"
-#include "Node/FactSource.h"
+#include "Node/ChangeSource.h"
 #include "Routing/RouteTable.h"
 #include "Store/StoreItem.h"
 
@@ -24,7 +24,7 @@
     std::string key;
     StoreRevision revision = 0;
     std::size_t bytes = 0; // size of the item's value
-    FactSource source = FactSource::Store;
+    ChangeSource source = ChangeSource::Store;
     Facts facts; // without the configuration, which is in `routing`
     std::shared_ptr<const PreparedRouting> routing; // null when the item holds no configuration
 };
@@ -34,6 +34,6 @@
  * run outside the node.
  */
 std::shared_ptr<const TranslatedItem> translateItem(
-    const FactTranslator& translator, const StoreItem& item, FactSource source);
+    const FactTranslator& translator, const StoreItem& item, ChangeSource source);
 
 }
--- a/Tests/Node/LivesTest.cpp
+++ b/Tests/Node/LivesTest.cpp
@@ -119,16 +119,16 @@
     LeavingSigns signs({}, book, this->table);
     LeavingSigns::Messages told;
     this->hear(named(record(5)));
-    signs.heard("s1", 5, { 110 });
+    signs.addOwn("s1", 5, { 110 });
     CHECK_FALSE(this->table.backendServer("s1")->takesNewRequests());
-    LONGS_EQUAL(1, signs.takeFound().size());
+    LONGS_EQUAL(1, signs.takeNewlyLeaving().size());
     signs.fill(told, { 120 });
     this->hear(named(record(9)));
-    signs.heard("s1", 5, { 130 });
+    signs.addOwn("s1", 5, { 130 });
     signs.receive(told, { 140 });
     CHECK(this->table.backendServer("s1")->takesNewRequests());
-    LONGS_EQUAL(0, signs.takeFound().size());
-    signs.heard("s1", 9, { 150 });
+    LONGS_EQUAL(0, signs.takeNewlyLeaving().size());
+    signs.addOwn("s1", 9, { 150 });
     CHECK_FALSE(this->table.backendServer("s1")->takesNewRequests());
     signs.receive(told, { 160 });
     CHECK_FALSE_TEXT(
@@ -140,8 +140,8 @@
     this->hear(named(record(5)));
     Facts spoilt;
     spoilt.unusableBackendServers.push_back("s1");
-    constexpr Milliseconds lapsesUntil{ 60000 };
-    const auto changes = this->table.setBackendServers(spoilt, lapsesUntil, { 200 });
+    constexpr Milliseconds lapseDeadline{ 60000 };
+    const auto changes = this->table.setBackendServers(spoilt, lapseDeadline, { 200 });
     LONGS_EQUAL(1, changes.size());
     CHECK(changes.front().kind == Kind::Unusable);
     CHECK(!this->table.backendServer("s1"));
