--- a/Source/Node/NewsExchange.h
+++ b/Source/Node/NewsExchange.h
@@ -182,8 +182,7 @@
     bool hasAnnouncedView = false; // the first store view was announced
     Milliseconds sendViewAt = Never; // when to send the view to instances that have none
     unsigned failedSearches = 0; // consecutive searches that found no watcher
-    bool needsValuesWithoutBase
-        = false; // request values not packed against a base: the last push could not be unpacked
+    bool needsValuesWithoutBase = false; // since a value of the last push could not be unpacked
     std::vector<InForceCall> inForceCalls;
 };
 
--- a/Source/Node/ServiceTable.h
+++ b/Source/Node/ServiceTable.h
@@ -92,14 +92,14 @@
     Random* random;
     FleetCount instances;
     bool configured = false;
-    bool hasCustomerLimits = false; // of customers
+    bool hasCustomerLimits = false;
     std::uint64_t routingCount = 0;
     std::shared_ptr<const PreparedRouting> routing; // never null
     std::vector<std::shared_ptr<ServiceState>> services;
     std::unordered_map<std::string, std::shared_ptr<ServiceState>> byNames;
     std::map<std::string, BackendServerRecord, std::less<>> records;
     std::unordered_map<std::string, WeightedTurn> turns; // weighted selection of a service, by route
-    std::set<std::string> emptiedCentres; // data centres
+    std::set<std::string> emptiedCentres; // names
     std::map<std::string, Milliseconds> lapsedUntil; // until when the removed record is kept, by id
 };
 
