--- a/Source/Node/NewsRecords.h
+++ b/Source/Node/NewsRecords.h
@@ -8,10 +8,10 @@
 
 namespace burlreach {
 
-/** News of changes that came after a gap, or without the large ones. */
-DecisionRecord recordOfIncomplete(const peers::News& news, const StoreKeeper& store, Milliseconds now);
-/** A push that was sent to the other instance, or taken from it. */
-DecisionRecord recordOfPush(
+/** Logs a gossip update whose changes are incomplete: earlier changes or large ones are missing. */
+DecisionRecord incompleteNewsRecord(const peers::News& news, const StoreKeeper& store, Milliseconds now);
+/** Logs a push sent to, or received from, the other instance. */
+DecisionRecord pushRecord(
     std::string_view event, const peers::Incarnation& other, const peers::Push& push, const StoreKeeper& store);
 
 }
--- a/Source/Node/NodeParts.cpp
+++ b/Source/Node/NodeComponentOptions.cpp
@@ -1,4 +1,4 @@
-#include "Node/NodeParts.h"
+#include "Node/NodeComponentOptions.h"
 
 #include "Routing/LoadAwarePolicy.h"
 
@@ -14,18 +14,20 @@
 };
 
 /**
- * All that begin together need not read the store at once, since those that
- * have read tell the others. Strong instances read first and tell quickly: with
- * a tenth of a processor within a second, a fifth 250 ms, a half 40 ms.
+ * Upper bound of the random delay before the first store read. When many
+ * instances start together, the first to read send the data to the others,
+ * which then need not read. Instances with more processor time read first
+ * because they distribute it faster: the bound is 1 s with a tenth of a
+ * processor, 250 ms with a fifth and 40 ms with a half.
  */
 Milliseconds firstReadingSpread(std::uint32_t capacity)
 {
     constexpr Milliseconds longest{ 1000 };
-    constexpr Milliseconds ofWholeProcessor{ 10 };
+    constexpr Milliseconds onWholeProcessor{ 10 };
     constexpr double percent = 100;
-    constexpr std::uint32_t usual = 20;
-    const double share = (capacity ? capacity : usual) / percent;
-    return std::min(longest, ofWholeProcessor * (1 / (share * share)));
+    constexpr std::uint32_t assumedCapacity = 20;
+    const double share = (capacity ? capacity : assumedCapacity) / percent;
+    return std::min(longest, onWholeProcessor * (1 / (share * share)));
 }
 
 }
--- a/Tests/Node/LivesTest.cpp
+++ b/Tests/Node/LivesTest.cpp
@@ -35,7 +35,7 @@
     return facts;
 }
 
-/** Records that come one after the other, and the life that is then in use. */
+/** Lives in consecutive records of one server, and the life that is used afterwards. */
 struct Case {
     const char* name;
     std::vector<std::uint64_t> lives;
@@ -47,10 +47,10 @@
 
 const std::vector<Case> Cases{
     { "the same life", { 5, 5 }, 5, Kind::Changed },
-    { "a new life", { 5, 9 }, 9, Kind::Restarted },
-    { "an older life, late", { 9, 5 }, 9, Kind::Added },
-    { "lives that are not told apart", { 0, 0 }, 0, Kind::Changed },
-    { "told apart from now on", { 0, 5 }, 5, Kind::Restarted },
+    { "a newer life", { 5, 9 }, 9, Kind::Restarted },
+    { "a late record of an older life", { 9, 5 }, 9, Kind::Added },
+    { "records without a life", { 0, 0 }, 0, Kind::Changed },
+    { "a life after a record without one", { 0, 5 }, 5, Kind::Restarted },
 };
 
 }
@@ -119,19 +119,20 @@
     LeavingSigns signs({}, book, this->table);
     LeavingSigns::Messages told;
     this->hear(named(record(5)));
-    signs.heard("s1", 5, { 110 });
+    signs.addOwn("s1", 5, { 110 });
     CHECK_FALSE(this->table.backendServer("s1")->takesNewRequests());
-    LONGS_EQUAL(1, signs.takeFound().size());
+    LONGS_EQUAL(1, signs.takeNewlyLeaving().size());
     signs.fill(told, { 120 });
     this->hear(named(record(9)));
-    signs.heard("s1", 5, { 130 });
+    signs.addOwn("s1", 5, { 130 });
     signs.receive(told, { 140 });
     CHECK(this->table.backendServer("s1")->takesNewRequests());
-    LONGS_EQUAL(0, signs.takeFound().size());
-    signs.heard("s1", 9, { 150 });
+    LONGS_EQUAL(0, signs.takeNewlyLeaving().size());
+    signs.addOwn("s1", 9, { 150 });
     CHECK_FALSE(this->table.backendServer("s1")->takesNewRequests());
     signs.receive(told, { 160 });
-    CHECK_FALSE_TEXT(this->table.backendServer("s1")->takesNewRequests(), "an older life says nothing of it");
+    CHECK_FALSE_TEXT(
+        this->table.backendServer("s1")->takesNewRequests(), "a notice of an older life does not apply to it");
 }
 
 TEST(Lives, ARecordThatCannotBeReadAnyMoreNamesNoServer)
@@ -139,8 +140,8 @@
     this->hear(named(record(5)));
     Facts spoilt;
     spoilt.unusableBackendServers.push_back("s1");
-    constexpr Milliseconds lapsesUntil{ 60000 };
-    const auto changes = this->table.setBackendServers(spoilt, lapsesUntil, { 200 });
+    constexpr Milliseconds lapseDeadline{ 60000 };
+    const auto changes = this->table.setBackendServers(spoilt, lapseDeadline, { 200 });
     LONGS_EQUAL(1, changes.size());
     CHECK(changes.front().kind == Kind::Unusable);
     CHECK(!this->table.backendServer("s1"));
