--- a/Benchmarks/Contender.cpp
+++ b/Benchmarks/Contender.cpp
@@ -46,7 +46,7 @@
 Contender sendingAtOnce()
 {
     Contender contender = own("burlreach-without-holding-back", true, true);
-    contender.requests.search.askedAtOnce = 3;
+    contender.requests.search.serversPerRound = 3;
     contender.requests.search.mostRounds = 1;
     contender.requests.search.holdShare = 0;
     return contender;
--- a/Source/Admission/TokenShare.cpp
+++ b/Source/Admission/ArrivalTokenBucket.cpp
@@ -1,20 +1,20 @@
-#include "Admission/TokenShare.h"
+#include "Admission/ArrivalTokenBucket.h"
 
 #include <algorithm>
 
 namespace burlreach {
 
-TokenShare::TokenShare(const Options& givenOptions)
+ArrivalTokenBucket::ArrivalTokenBucket(const Options& givenOptions)
     : options(givenOptions)
 {
 }
 
-void TokenShare::arrived()
+void ArrivalTokenBucket::countArrival()
 {
     this->tokens = std::min(this->options.most, this->tokens + this->options.share);
 }
 
-bool TokenShare::take()
+bool ArrivalTokenBucket::take()
 {
     if (this->tokens < 1)
         return false;
--- a/Source/Admission/CallerPatience.cpp
+++ b/Source/Admission/CallerWaitEstimator.cpp
@@ -1,4 +1,4 @@
-#include "Admission/CallerPatience.h"
+#include "Admission/CallerWaitEstimator.h"
 
 #include <algorithm>
 
@@ -13,7 +13,7 @@
 
 }
 
-Milliseconds CallerPatience::spentBefore(Milliseconds timeLeft)
+Milliseconds CallerWaitEstimator::spentBefore(Milliseconds timeLeft)
 {
     const Milliseconds decayed = this->longest - (this->longest - timeLeft) * DecayShare;
     this->longest = std::max(timeLeft, decayed);
--- a/Source/Admission/CallerPatience.h
+++ b/Source/Admission/CallerWaitEstimator.h
@@ -10,7 +10,7 @@
  * the difference is what they have spent. The usual time of a first try is not configured: it is the longest time seen,
  * which decays so that single callers with very late deadlines do not count for long.
  */
-class CallerPatience {
+class CallerWaitEstimator {
 public:
     /** Takes the time left of an arriving request and returns the time that its caller has spent before. */
     Milliseconds spentBefore(Milliseconds timeLeft);
--- a/Source/Admission/ComeBackTime.cpp
+++ b/Source/Admission/RetryAfterDelay.cpp
@@ -1,4 +1,4 @@
-#include "Admission/ComeBackTime.h"
+#include "Admission/RetryAfterDelay.h"
 
 #include <algorithm>
 
@@ -23,15 +23,15 @@
 
 }
 
-Milliseconds comeBackAfterPause(Milliseconds left, double random)
+Milliseconds computeRetryAfterForPause(Milliseconds left, double random)
 {
     return std::clamp(left * (1 + random), ShortestDelay, LongestPauseDelay);
 }
 
-Milliseconds comeBackAfter(RefusalReason reason, Milliseconds targetLatency, double random)
+Milliseconds computeRetryAfter(RefusalReason reason, Milliseconds targetLatency, double random)
 {
     if (reason == RefusalReason::NoBackendServer || reason == RefusalReason::DataCentreEmptied)
-        return UsualComeBack;
+        return DefaultRetryAfter;
     const double share = reason == RefusalReason::BackendServersRefused ? EarlyRetryShare : 1;
     return std::clamp(targetLatency * (share * (1 + random)), ShortestDelay, LongestDelay);
 }
--- a/Source/Base/SpanText.cpp
+++ b/Source/Base/DurationText.cpp
@@ -1,10 +1,10 @@
-#include "Base/SpanText.h"
+#include "Base/DurationText.h"
 
 #include <charconv>
 
 namespace burlreach {
 
-std::optional<Milliseconds> parseSpan(std::string_view text)
+std::optional<Milliseconds> parseDuration(std::string_view text)
 {
     constexpr double millisecondsPerSecond = 1000;
     double number = 0;
--- a/Source/Base/SpanText.h
+++ b/Source/Base/DurationText.h
@@ -8,6 +8,6 @@
 namespace burlreach {
 
 /** Parses a duration such as "1500ms" or "2.5s"; nullopt for any other text. */
-std::optional<Milliseconds> parseSpan(std::string_view text);
+std::optional<Milliseconds> parseDuration(std::string_view text);
 
 }
--- a/Source/Base/DealtBudget.cpp
+++ b/Source/Base/LocalBudgetShare.cpp
@@ -1,11 +1,11 @@
-#include "Base/DealtBudget.h"
+#include "Base/LocalBudgetShare.h"
 
 #include <cmath>
 
 namespace burlreach {
 
-DealtBudget::Allowance& DealtBudget::currentAllowance(
-    const std::string& key, const Part& part, Random& random, Milliseconds now)
+LocalBudgetShare::Allowance& LocalBudgetShare::currentAllowance(
+    const std::string& key, const Rate& part, Random& random, Milliseconds now)
 {
     Allowance& allowance = this->allowances[key];
     if (now < allowance.until)
@@ -17,12 +17,12 @@
     return allowance;
 }
 
-bool DealtBudget::has(const std::string& key, const Part& part, Random& random, Milliseconds now)
+bool LocalBudgetShare::has(const std::string& key, const Rate& part, Random& random, Milliseconds now)
 {
     return this->currentAllowance(key, part, random, now).left > 0;
 }
 
-bool DealtBudget::take(const std::string& key, const Part& part, Random& random, Milliseconds now)
+bool LocalBudgetShare::take(const std::string& key, const Rate& part, Random& random, Milliseconds now)
 {
     Allowance& allowance = this->currentAllowance(key, part, random, now);
     if (!allowance.left)
--- a/Source/Base/DealtBudget.h
+++ b/Source/Base/LocalBudgetShare.h
@@ -16,18 +16,18 @@
  * window. So an instance can use a share far below one unit a window from the start, and instances that start or resume
  * together do not all spend saved units at once.
  */
-class DealtBudget {
+class LocalBudgetShare {
 public:
     /** The share of this instance in the budget of one key. */
-    struct Part {
+    struct Rate {
         double perSecond = 0; // units
         Milliseconds window{ 1000 };
     };
 
     /** True if a unit is left in the present window. */
-    bool has(const std::string& key, const Part& part, Random& random, Milliseconds now);
+    bool has(const std::string& key, const Rate& part, Random& random, Milliseconds now);
     /** Takes a unit; false if none is left in the present window. */
-    bool take(const std::string& key, const Part& part, Random& random, Milliseconds now);
+    bool take(const std::string& key, const Rate& part, Random& random, Milliseconds now);
     void forget(const std::string& key) { this->allowances.erase(key); }
 
 private:
@@ -36,7 +36,7 @@
         Milliseconds until = LongAgo; // end of the window
     };
 
-    Allowance& currentAllowance(const std::string& key, const Part& part, Random& random, Milliseconds now);
+    Allowance& currentAllowance(const std::string& key, const Rate& part, Random& random, Milliseconds now);
 
     std::unordered_map<std::string, Allowance> allowances;
 };
--- a/Source/Configuration/OwnFactTranslator.cpp
+++ b/Source/Configuration/NativeItemTranslator.cpp
@@ -1,4 +1,4 @@
-#include "Configuration/OwnFactTranslator.h"
+#include "Configuration/NativeItemTranslator.h"
 
 #include "Configuration/ConfigurationCodec.h"
 
@@ -119,9 +119,9 @@
 
 }
 
-Facts factsOf(const v1::Configuration& configuration)
+ConfigurationUpdate configurationUpdateOf(const v1::Configuration& configuration)
 {
-    Facts facts;
+    ConfigurationUpdate facts;
     facts.areAllBackendServers = true;
     RoutingConfiguration& routing = facts.configuration.emplace();
     routing.version = configuration.revision();
@@ -148,13 +148,13 @@
     return facts;
 }
 
-Facts OwnFactTranslator::translate(const StoreItem& item) const
+ConfigurationUpdate NativeItemTranslator::translate(const StoreItem& item) const
 {
-    if (item.key != OwnConfigurationKey || item.removed)
+    if (item.key != NativeConfigurationKey || item.removed)
         return {};
     if (const auto configuration = decodeConfiguration(item.value))
-        return factsOf(*configuration);
-    Facts facts;
+        return configurationUpdateOf(*configuration);
+    ConfigurationUpdate facts;
     facts.findings.add(item.key, "is not a configuration; restore the key from a backup");
     return facts;
 }
--- a/Source/Configuration/FactTranslator.h
+++ b/Source/Configuration/StoreItemTranslator.h
@@ -20,7 +20,7 @@
 };
 
 /** The content of a store item: the parts of the configuration that it sets or changes. */
-struct Facts {
+struct ConfigurationUpdate {
     std::optional<RoutingConfiguration> configuration;
     std::vector<BackendServerRecord> backendServers; // new or changed
     std::vector<std::string> goneBackendServers; // ids of removed ones
@@ -34,12 +34,12 @@
 };
 
 /** Translates store items from the format in which operators and backend servers write them. */
-class FactTranslator {
+class StoreItemTranslator {
 public:
-    virtual ~FactTranslator() = default;
+    virtual ~StoreItemTranslator() = default;
     /** The prefix of the keys to watch. */
     virtual std::string watchedPrefix() const = 0;
-    virtual Facts translate(const StoreItem& item) const = 0;
+    virtual ConfigurationUpdate translate(const StoreItem& item) const = 0;
     /** The item with the state of a service's roll-out for operators; an empty key: they ask the instances instead. */
     virtual StoreItem rolloutStatus(const std::string&, const RolloutState&) const { return {}; }
     /**
--- a/Source/Crashes/BrokenAttempts.cpp
+++ b/Source/Crashes/BrokenAttemptTracker.cpp
@@ -1,16 +1,16 @@
-#include "Crashes/BrokenAttempts.h"
+#include "Crashes/BrokenAttemptTracker.h"
 
 #include <algorithm>
 #include <iterator>
 
 namespace burlreach {
 
-BrokenAttempts::BrokenAttempts(Options givenOptions)
+BrokenAttemptTracker::BrokenAttemptTracker(Options givenOptions)
     : options(givenOptions)
 {
 }
 
-bool BrokenAttempts::add(const BrokenAttempt& attempt, Milliseconds now)
+bool BrokenAttemptTracker::add(const BrokenAttempt& attempt, Milliseconds now)
 {
     std::erase_if(this->attempts, [&](const BrokenAttempt& item) { return now - item.brokeAt > this->options.maxAge; });
     if (!attempt.digest.isKnown() || this->attempts.size() >= this->options.maxAttempts)
@@ -22,13 +22,13 @@
     return true;
 }
 
-std::vector<BrokenAttempts::Check>::iterator BrokenAttempts::findCheck(std::string_view backendServer)
+std::vector<BrokenAttemptTracker::Check>::iterator BrokenAttemptTracker::findCheck(std::string_view backendServer)
 {
     return std::find_if(this->checks.begin(), this->checks.end(),
         [&](const Check& check) { return check.server.backendServer == backendServer; });
 }
 
-std::vector<BrokenAttempt> BrokenAttempts::ended(std::string_view backendServer)
+std::vector<BrokenAttempt> BrokenAttemptTracker::takeCrashed(std::string_view backendServer)
 {
     std::erase_if(this->checks, [&](const Check& check) { return check.server.backendServer == backendServer; });
     const auto kept = std::stable_partition(this->attempts.begin(), this->attempts.end(),
@@ -38,7 +38,7 @@
     return found;
 }
 
-void BrokenAttempts::cameUp(std::string_view backendServer, Milliseconds now)
+void BrokenAttemptTracker::connectionEstablished(std::string_view backendServer, Milliseconds now)
 {
     const auto check = this->findCheck(backendServer);
     if (check == this->checks.end())
@@ -49,7 +49,7 @@
     check->secondAt = now + this->options.secondCheckDelay;
 }
 
-std::vector<ServerToCheck> BrokenAttempts::takeDue(Milliseconds now)
+std::vector<ServerToCheck> BrokenAttemptTracker::takeDueChecks(Milliseconds now)
 {
     std::vector<ServerToCheck> due;
     for (Check& check : this->checks) {
@@ -61,7 +61,7 @@
     return due;
 }
 
-Milliseconds BrokenAttempts::nextLook() const
+Milliseconds BrokenAttemptTracker::nextCheck() const
 {
     Milliseconds next = Never;
     for (const Check& check : this->checks) {
@@ -71,12 +71,12 @@
     return next;
 }
 
-void BrokenAttempts::forget(std::string_view backendServer)
+void BrokenAttemptTracker::forget(std::string_view backendServer)
 {
-    this->ended(backendServer);
+    this->takeCrashed(backendServer);
 }
 
-std::size_t BrokenAttempts::of(const RequestDigest& digest) const
+std::size_t BrokenAttemptTracker::countOf(const RequestDigest& digest) const
 {
     return static_cast<std::size_t>(std::count_if(this->attempts.begin(), this->attempts.end(),
         [&](const BrokenAttempt& item) { return item.digest == digest; }));
--- a/Source/Crashes/BrokenAttempts.h
+++ b/Source/Crashes/BrokenAttemptTracker.h
@@ -40,7 +40,7 @@
  * - If it is established, the process may still be ending, so there is a second check shortly afterwards. If that one
  *   succeeds as well, the server lives, and a later crash has another cause.
  */
-class BrokenAttempts {
+class BrokenAttemptTracker {
 public:
     struct Options {
         Milliseconds maxAge{ 1000 }; // maximum age of an attempt; both checks have ended by then
@@ -52,7 +52,7 @@
         std::size_t maxAttempts = 256;
     };
 
-    explicit BrokenAttempts(Options options);
+    explicit BrokenAttemptTracker(Options options);
 
     /**
      * Adds an attempt. True when its server should be checked now; false while a check is pending, when the request
@@ -60,17 +60,17 @@
      */
     bool add(const BrokenAttempt& attempt, Milliseconds now);
     /** The server has crashed: removes its attempts and returns them. */
-    std::vector<BrokenAttempt> ended(std::string_view backendServer);
+    std::vector<BrokenAttempt> takeCrashed(std::string_view backendServer);
     /** A check established a connection: schedules the second check, or ends the checks if that was the second. */
-    void cameUp(std::string_view backendServer, Milliseconds now);
+    void connectionEstablished(std::string_view backendServer, Milliseconds now);
     /** Starts the second checks that are due and returns their servers. */
-    std::vector<ServerToCheck> takeDue(Milliseconds now);
+    std::vector<ServerToCheck> takeDueChecks(Milliseconds now);
     /** When the next second check is due; Never without one. */
-    Milliseconds nextLook() const;
+    Milliseconds nextCheck() const;
     /** Removes the attempts of a server that lives, or of which it is not known whether it crashed. */
     void forget(std::string_view backendServer);
     /** Number of broken attempts of this request, each of which may be a crash. */
-    std::size_t of(const RequestDigest& digest) const;
+    std::size_t countOf(const RequestDigest& digest) const;
     std::size_t size() const { return this->attempts.size(); }
 
 private:
--- a/Source/Crashes/CrashTable.cpp
+++ b/Source/Crashes/CrashTable.cpp
@@ -23,28 +23,28 @@
 /** Maximum number of callers of one request whose answers are remembered. */
 constexpr std::size_t MostAnswers = 16;
 
-std::size_t addressesOf(std::span<const ServerEnd> crashes)
+std::size_t addressesOf(std::span<const ServerCrash> crashes)
 {
     std::set<NetworkAddress> addresses;
-    for (const ServerEnd& crash : crashes)
+    for (const ServerCrash& crash : crashes)
         addresses.insert(crash.address);
     return addresses.size();
 }
 
-std::size_t callersOf(std::span<const ServerEnd> crashes)
+std::size_t callersOf(std::span<const ServerCrash> crashes)
 {
     std::set<std::uint64_t> callers;
-    for (const ServerEnd& crash : crashes)
+    for (const ServerCrash& crash : crashes)
         callers.insert(crash.caller);
     return callers.size();
 }
 
 /** Without duplicates of the same crash; the first one in the list stays. */
-std::vector<ServerEnd> distinctCrashes(std::span<const ServerEnd> crashes)
+std::vector<ServerCrash> distinctCrashes(std::span<const ServerCrash> crashes)
 {
-    std::vector<ServerEnd> distinct;
-    for (const ServerEnd& crash : crashes) {
-        if (std::none_of(distinct.begin(), distinct.end(), [&](const ServerEnd& item) { return item.isSame(crash); }))
+    std::vector<ServerCrash> distinct;
+    for (const ServerCrash& crash : crashes) {
+        if (std::none_of(distinct.begin(), distinct.end(), [&](const ServerCrash& item) { return item.isSame(crash); }))
             distinct.push_back(crash);
     }
     return distinct;
@@ -74,15 +74,15 @@
 Milliseconds CrashTable::Entry::lastCrash() const
 {
     Milliseconds last = LongAgo;
-    for (const ServerEnd& crash : this->crashes)
+    for (const ServerCrash& crash : this->crashes)
         last = std::max(last, crash.at);
     return last;
 }
 
-bool CrashTable::Entry::hasCrash(const ServerEnd& crash) const
+bool CrashTable::Entry::hasCrash(const ServerCrash& crash) const
 {
     return std::any_of(
-        this->crashes.begin(), this->crashes.end(), [&](const ServerEnd& known) { return known.isSame(crash); });
+        this->crashes.begin(), this->crashes.end(), [&](const ServerCrash& known) { return known.isSame(crash); });
 }
 
 void CrashTable::Entry::updateCrashCount()
@@ -90,7 +90,7 @@
     this->crashCount = distinctCrashes(this->crashes).size();
 }
 
-bool CrashTable::isCleared(const RequestDigest& digest, const ServerEnd& crash) const
+bool CrashTable::isCleared(const RequestDigest& digest, const ServerCrash& crash) const
 {
     const auto known = this->answers.find(digest);
     if (known == this->answers.end())
@@ -99,14 +99,14 @@
     return answer != known->second.end() && crash.at <= answer->second;
 }
 
-bool CrashTable::add(const RequestDigest& digest, const ServerEnd& crash, Milliseconds now)
+bool CrashTable::add(const RequestDigest& digest, const ServerCrash& crash, Milliseconds now)
 {
     if (!digest.isKnown() || this->isCleared(digest, crash))
         return false;
     if (!this->entries.contains(digest))
         this->evictIfFull(now);
     Entry& entry = this->entries[digest];
-    const auto isKnown = [&](const ServerEnd& known) { return known.isSame(crash) && known.caller == crash.caller; };
+    const auto isKnown = [&](const ServerCrash& known) { return known.isSame(crash) && known.caller == crash.caller; };
     if (std::any_of(entry.crashes.begin(), entry.crashes.end(), isKnown)
         || entry.crashes.size() >= this->options.mostCrashes)
         return false;
@@ -116,7 +116,7 @@
     return true;
 }
 
-bool CrashTable::addKept(const RequestDigest& digest, const ServerEnd& crash, Milliseconds now)
+bool CrashTable::addStored(const RequestDigest& digest, const ServerCrash& crash, Milliseconds now)
 {
     const auto known = this->answers.find(digest);
     const bool wasAnswered = known != this->answers.end() && known->second.contains(crash.caller);
@@ -137,10 +137,10 @@
         return false;
     Entry& entry = found->second;
     const bool hadUnclearedCrash = std::any_of(entry.crashes.begin(), entry.crashes.end(),
-        [&](const ServerEnd& crash) { return crash.at > entry.answeredAt && crash.at <= at; });
+        [&](const ServerCrash& crash) { return crash.at > entry.answeredAt && crash.at <= at; });
     entry.answeredAt = std::max(entry.answeredAt, at);
     const std::size_t dropped = std::erase_if(
-        entry.crashes, [&](const ServerEnd& crash) { return crash.caller == caller && crash.at <= at; });
+        entry.crashes, [&](const ServerCrash& crash) { return crash.caller == caller && crash.at <= at; });
     entry.updateCrashCount();
     if (entry.crashes.empty())
         this->entries.erase(found);
@@ -158,7 +158,7 @@
 Milliseconds CrashTable::expiresAt(const RequestDigest& digest, const Entry& entry) const
 {
     const std::size_t counted = this->evaluation(digest, entry).counted;
-    if (counted >= ServersThatProve)
+    if (counted >= CrashesToConfirm)
         return entry.lastCrash() + this->options.crashingKept;
     return entry.lastCrash() + (counted > 1 ? this->options.suspectsKept : this->options.singleCrashKept);
 }
@@ -193,47 +193,47 @@
     this->invalidateEvaluations();
 }
 
-std::span<const ServerEnd> CrashTable::ends(const RequestDigest& digest) const
+std::span<const ServerCrash> CrashTable::crashes(const RequestDigest& digest) const
 {
     const auto found = this->entries.find(digest);
-    return found == this->entries.end() ? std::span<const ServerEnd>() : found->second.crashes;
+    return found == this->entries.end() ? std::span<const ServerCrash>() : found->second.crashes;
 }
 
-std::vector<ServerEnd> CrashTable::crashesOfCaller(const Entry& entry, std::uint64_t caller)
+std::vector<ServerCrash> CrashTable::crashesOfCaller(const Entry& entry, std::uint64_t caller)
 {
-    std::vector<ServerEnd> found;
+    std::vector<ServerCrash> found;
     std::copy_if(entry.crashes.begin(), entry.crashes.end(), std::back_inserter(found),
-        [caller](const ServerEnd& crash) { return crash.caller == caller; });
+        [caller](const ServerCrash& crash) { return crash.caller == caller; });
     return found;
 }
 
-std::vector<ServerEnd> CrashTable::crashesOfAllCallers(const Entry& entry)
+std::vector<ServerCrash> CrashTable::crashesOfAllCallers(const Entry& entry)
 {
-    std::vector<ServerEnd> found;
+    std::vector<ServerCrash> found;
     std::copy_if(entry.crashes.begin(), entry.crashes.end(), std::back_inserter(found),
-        [&](const ServerEnd& crash) { return crash.at > entry.answeredAt; });
+        [&](const ServerCrash& crash) { return crash.at > entry.answeredAt; });
     if (callersOf(found) < 2)
         found.clear();
     return found;
 }
 
-bool CrashTable::isExplainedByOther(const RequestDigest& digest, const Entry& entry, const ServerEnd& crash) const
+bool CrashTable::isExplainedByOther(const RequestDigest& digest, const Entry& entry, const ServerCrash& crash) const
 {
     const std::size_t own = entry.crashCount;
     return std::any_of(this->entries.begin(), this->entries.end(), [&](const auto& item) {
         const std::size_t others = item.second.crashCount;
         // With three crashes each, the two requests cannot be told apart until the next crash.
-        const bool hasMoreCrashes = others > own || (others == own && own == ServersThatProve);
-        return others >= ServersThatProve && hasMoreCrashes && item.first != digest && item.second.hasCrash(crash);
+        const bool hasMoreCrashes = others > own || (others == own && own == CrashesToConfirm);
+        return others >= CrashesToConfirm && hasMoreCrashes && item.first != digest && item.second.hasCrash(crash);
     });
 }
 
 std::size_t CrashTable::countCrashes(
-    const RequestDigest& digest, const Entry& entry, std::span<const ServerEnd> crashes) const
+    const RequestDigest& digest, const Entry& entry, std::span<const ServerCrash> crashes) const
 {
     std::vector<Milliseconds> unexplained;
     std::size_t explained = 0;
-    for (const ServerEnd& crash : distinctCrashes(crashes)) {
+    for (const ServerCrash& crash : distinctCrashes(crashes)) {
         if (this->isExplainedByOther(digest, entry, crash))
             ++explained;
         else
@@ -247,14 +247,14 @@
 CrashTable::Evaluation CrashTable::evaluate(const RequestDigest& digest, const Entry& entry) const
 {
     constexpr bool oneAddress = false;
-    const std::vector<ServerEnd> all = crashesOfAllCallers(entry);
+    const std::vector<ServerCrash> all = crashesOfAllCallers(entry);
     Evaluation found{ .counted = this->countCrashes(digest, entry, all),
         .isCrashing = this->isConclusive(digest, entry, all, oneAddress) };
     std::set<std::uint64_t> callers;
-    for (const ServerEnd& crash : entry.crashes) {
+    for (const ServerCrash& crash : entry.crashes) {
         if (!callers.insert(crash.caller).second)
             continue;
-        const std::vector<ServerEnd> byCaller = crashesOfCaller(entry, crash.caller);
+        const std::vector<ServerCrash> byCaller = crashesOfCaller(entry, crash.caller);
         found.counted = std::max(found.counted, this->countCrashes(digest, entry, byCaller));
         found.isCrashing = found.isCrashing || this->isConclusive(digest, entry, byCaller, oneAddress);
     }
@@ -269,13 +269,13 @@
     return this->evaluations.emplace(digest, this->evaluate(digest, entry)).first->second;
 }
 
-std::size_t CrashTable::countedEnds(const RequestDigest& digest) const
+std::size_t CrashTable::countedCrashes(const RequestDigest& digest) const
 {
     const auto found = this->entries.find(digest);
     return found == this->entries.end() ? 0 : this->evaluation(digest, found->second).counted;
 }
 
-std::size_t CrashTable::countedEnds(const CallersRequest& request) const
+std::size_t CrashTable::countedEnds(const CallerRequest& request) const
 {
     const auto found = this->entries.find(request.digest);
     if (found == this->entries.end())
@@ -286,13 +286,13 @@
 }
 
 bool CrashTable::isConclusive(
-    const RequestDigest& digest, const Entry& entry, std::span<const ServerEnd> crashes, bool oneAddress) const
+    const RequestDigest& digest, const Entry& entry, std::span<const ServerCrash> crashes, bool oneAddress) const
 {
-    if (crashes.size() < ServersThatProve)
+    if (crashes.size() < CrashesToConfirm)
         return false;
     // Repeated crashes of a single server are no evidence against the requests there.
     const bool hasEnoughAddresses = oneAddress || addressesOf(crashes) > 1;
-    return hasEnoughAddresses && this->countCrashes(digest, entry, crashes) >= ServersThatProve;
+    return hasEnoughAddresses && this->countCrashes(digest, entry, crashes) >= CrashesToConfirm;
 }
 
 bool CrashTable::isCrashing(const RequestDigest& digest) const
@@ -301,7 +301,7 @@
     return found != this->entries.end() && this->evaluation(digest, found->second).isCrashing;
 }
 
-bool CrashTable::isRefused(const CallersRequest& request, Milliseconds now) const
+bool CrashTable::isRefused(const CallerRequest& request, Milliseconds now) const
 {
     const auto found = this->entries.find(request.digest);
     if (found == this->entries.end() || now >= this->refusedUntil(request.digest, found->second))
@@ -315,7 +315,7 @@
 
 Milliseconds CrashTable::refusedUntil(const RequestDigest& digest, const Entry& entry) const
 {
-    const std::size_t furtherCrashes = std::max(entry.crashCount, ServersThatProve) - ServersThatProve;
+    const std::size_t furtherCrashes = std::max(entry.crashCount, CrashesToConfirm) - CrashesToConfirm;
     const double factor = std::pow(this->options.refusalGrowth, static_cast<double>(furtherCrashes));
     const Milliseconds period = std::min(this->options.firstRefusal * factor, this->options.longestRefusal);
     const std::uint64_t draw = hashOf(this->options.instance, digest.low);
@@ -333,7 +333,7 @@
 std::uint32_t CrashTable::nextOrdinal(const RequestDigest& digest, std::uint64_t server, Milliseconds at) const
 {
     std::uint32_t next = 1;
-    for (const ServerEnd& crash : this->ends(digest)) {
+    for (const ServerCrash& crash : this->crashes(digest)) {
         if (crash.server != server)
             continue;
         const bool isSameCrash = at - crash.at < SameCrashPeriod;
@@ -361,7 +361,7 @@
     return found;
 }
 
-std::vector<RequestDigest> CrashTable::withCountedEnds(std::size_t least) const
+std::vector<RequestDigest> CrashTable::digestsWithCountedCrashes(std::size_t least) const
 {
     std::vector<RequestDigest> found;
     for (const auto& [digest, entry] : this->entries) {
--- a/Source/Crashes/CrashTable.h
+++ b/Source/Crashes/CrashTable.h
@@ -2,7 +2,7 @@
 
 #include "Base/Milliseconds.h"
 #include "Crashes/RequestDigest.h"
-#include "Crashes/ServerEnd.h"
+#include "Crashes/ServerCrash.h"
 
 #include <cstddef>
 #include <cstdint>
@@ -15,7 +15,7 @@
 namespace burlreach {
 
 /** A request of one caller. */
-struct CallersRequest {
+struct CallerRequest {
     RequestDigest digest;
     std::uint64_t caller = 0; // see callerNumber()
     bool hasOneAddress = false; // its service has only one backend server
@@ -72,14 +72,14 @@
     };
 
     /** Crashes that must count against a request to find that it crashes servers. */
-    static constexpr std::size_t ServersThatProve = 3;
+    static constexpr std::size_t CrashesToConfirm = 3;
 
     explicit CrashTable(Options options);
 
     /** Records a crash; true when it was not known. */
-    bool add(const RequestDigest& digest, const ServerEnd& crash, Milliseconds now);
+    bool add(const RequestDigest& digest, const ServerCrash& crash, Milliseconds now);
     /** The same for a record without exact times; ignored if the request of this caller was answered recently. */
-    bool addKept(const RequestDigest& digest, const ServerEnd& crash, Milliseconds now);
+    bool addStored(const RequestDigest& digest, const ServerCrash& crash, Milliseconds now);
     /** A server answered the request: older crashes no longer count. True when this changed anything. */
     bool answered(const RequestDigest& digest, std::uint64_t caller, Milliseconds at, Milliseconds now);
     /** The request is sent to a server although it was found to crash servers. */
@@ -88,15 +88,15 @@
     void expire(Milliseconds now);
 
     /** Known crashes under the request, from all callers. */
-    std::span<const ServerEnd> ends(const RequestDigest& digest) const;
+    std::span<const ServerCrash> crashes(const RequestDigest& digest) const;
     /** Number of crashes that count against the request: of the caller with the most, or of all callers together. */
-    std::size_t countedEnds(const RequestDigest& digest) const;
+    std::size_t countedCrashes(const RequestDigest& digest) const;
     /** Number of crashes that count against the request when it comes from this caller. */
-    std::size_t countedEnds(const CallersRequest& request) const;
+    std::size_t countedEnds(const CallerRequest& request) const;
     /** True when the request is found to crash servers, from one caller or from all. */
     bool isCrashing(const RequestDigest& digest) const;
     /** True when the request may not be sent to any server now. */
-    bool isRefused(const CallersRequest& request, Milliseconds now) const;
+    bool isRefused(const CallerRequest& request, Milliseconds now) const;
     /** Until when this instance refuses the request, if it is found to crash servers. */
     Milliseconds refusedUntil(const RequestDigest& digest) const;
     /** The ordinal for a crash of this server under the request; attempts that saw the same crash get the same one. */
@@ -112,19 +112,19 @@
     };
     std::vector<Answer> answersSince(Milliseconds from) const;
     /** Requests against which at least this many crashes count; all known requests for 0. */
-    std::vector<RequestDigest> withCountedEnds(std::size_t least) const;
+    std::vector<RequestDigest> digestsWithCountedCrashes(std::size_t least) const;
     std::size_t size() const { return this->entries.size(); }
 
 private:
     struct Entry {
-        std::vector<ServerEnd> crashes; // in order of arrival
+        std::vector<ServerCrash> crashes; // in order of arrival
         Milliseconds answeredAt = LongAgo; // last answer to any caller
         Milliseconds triedAt = LongAgo;
 
         std::size_t crashCount = 0; // distinct crashes; the requests of several callers may have been at the same one
 
         Milliseconds lastCrash() const;
-        bool hasCrash(const ServerEnd& crash) const;
+        bool hasCrash(const ServerCrash& crash) const;
         void updateCrashCount();
     };
 
@@ -135,20 +135,21 @@
     };
     using Answers = std::map<std::uint64_t, Milliseconds>; // time of the latest answer, by caller
 
-    static std::vector<ServerEnd> crashesOfCaller(const Entry& entry, std::uint64_t caller);
+    static std::vector<ServerCrash> crashesOfCaller(const Entry& entry, std::uint64_t caller);
     /** Crashes that count for every caller: those since the last answer, if they come from several callers. */
-    static std::vector<ServerEnd> crashesOfAllCallers(const Entry& entry);
-    bool isExplainedByOther(const RequestDigest& digest, const Entry& entry, const ServerEnd& crash) const;
-    std::size_t countCrashes(const RequestDigest& digest, const Entry& entry, std::span<const ServerEnd> crashes) const;
+    static std::vector<ServerCrash> crashesOfAllCallers(const Entry& entry);
+    bool isExplainedByOther(const RequestDigest& digest, const Entry& entry, const ServerCrash& crash) const;
+    std::size_t countCrashes(
+        const RequestDigest& digest, const Entry& entry, std::span<const ServerCrash> crashes) const;
     bool isConclusive(
-        const RequestDigest& digest, const Entry& entry, std::span<const ServerEnd> crashes, bool oneAddress) const;
+        const RequestDigest& digest, const Entry& entry, std::span<const ServerCrash> crashes, bool oneAddress) const;
     Evaluation evaluate(const RequestDigest& digest, const Entry& entry) const;
     /** The same, cached until something changes: the evaluation takes some microseconds for each pair of requests. */
     const Evaluation& evaluation(const RequestDigest& digest, const Entry& entry) const;
     void invalidateEvaluations() { this->evaluations.clear(); }
     Milliseconds expiresAt(const RequestDigest& digest, const Entry& entry) const;
     Milliseconds refusedUntil(const RequestDigest& digest, const Entry& entry) const;
-    bool isCleared(const RequestDigest& digest, const ServerEnd& crash) const;
+    bool isCleared(const RequestDigest& digest, const ServerCrash& crash) const;
     void evictIfFull(Milliseconds now);
 
     Options options;
--- a/Source/Crashes/RequestDigest.cpp
+++ b/Source/Crashes/RequestDigest.cpp
@@ -37,7 +37,7 @@
     return { .high = all.high64, .low = all.low64 };
 }
 
-std::uint64_t callerNumber(std::string_view address)
+std::uint64_t callerHash(std::string_view address)
 {
     return hashOf(address);
 }
--- a/Source/Crashes/RequestDigest.h
+++ b/Source/Crashes/RequestDigest.h
@@ -40,7 +40,7 @@
 RequestDigest digestOf(const RequestIdentity& identity);
 
 /** A short identifier of a caller's address, the same on every instance. */
-std::uint64_t callerNumber(std::string_view address);
+std::uint64_t callerHash(std::string_view address);
 
 struct RequestDigestHash {
     std::size_t operator()(const RequestDigest& digest) const { return static_cast<std::size_t>(digest.low); }
--- a/Source/Crashes/ServerEnd.h
+++ b/Source/Crashes/ServerCrash.h
@@ -9,7 +9,7 @@
 namespace burlreach {
 
 /** The process of a backend server ended while a request was in flight there. */
-struct ServerEnd {
+struct ServerCrash {
     std::uint64_t server = 0; // see serverNumber()
     /** Number of the crash among those of this server under this request: one record may cover several processes. */
     std::uint32_t ordinal = 1;
@@ -18,10 +18,13 @@
     Milliseconds at;
 
     /** True when both describe the same crash, whichever instance saw it, and whichever caller's request was there. */
-    bool isSame(const ServerEnd& other) const { return this->server == other.server && this->ordinal == other.ordinal; }
+    bool isSame(const ServerCrash& other) const
+    {
+        return this->server == other.server && this->ordinal == other.ordinal;
+    }
 };
 
 /** A short identifier of a life of a backend server, the same on every instance. */
-std::uint64_t serverNumber(std::string_view id, std::uint64_t life);
+std::uint64_t serverHash(std::string_view id, std::uint64_t life);
 
 }
--- a/Source/Customers/CustomerTable.cpp
+++ b/Source/Customers/CustomerTable.cpp
@@ -18,7 +18,7 @@
         [](const auto& left, const auto& right) { return (left.first <=> right.first) < 0; });
 }
 
-const Customer* CustomerTable::holderOf(const KeyDigest& key) const
+const Customer* CustomerTable::findByKey(const KeyDigest& key) const
 {
     const auto found = std::lower_bound(this->byKey.begin(), this->byKey.end(), key,
         [](const auto& item, const KeyDigest& wanted) { return (item.first <=> wanted) < 0; });
--- a/Source/Customers/CustomerTable.h
+++ b/Source/Customers/CustomerTable.h
@@ -21,7 +21,7 @@
     /** Requests need a key if there are any customers. */
     bool hasCustomers() const { return !this->list.empty(); }
     /** The customer to whom the key belongs; null if there is none. */
-    const Customer* holderOf(const KeyDigest& key) const;
+    const Customer* findByKey(const KeyDigest& key) const;
     /** Null if there is no customer of this name. */
     const Customer* byName(std::string_view name) const;
     std::span<const Customer> all() const { return this->list; }
--- a/Source/Http/HttpListener.cpp
+++ b/Source/Http/HttpListener.cpp
@@ -121,7 +121,7 @@
     }
 }
 
-void HttpListener::refuseNew()
+void HttpListener::refuseNewConnections()
 {
     if (!this->acceptor.is_open())
         return;
@@ -133,7 +133,7 @@
 void HttpListener::stopAccepting()
 {
     // Closing the listener would reset connections that wait to be accepted, and lose the requests sent on them.
-    this->refuseNew();
+    this->refuseNewConnections();
     asio::error_code ignored;
     this->acceptor.close(ignored);
 }
@@ -152,12 +152,12 @@
     }
 }
 
-bool HttpListener::isSought() const
+bool HttpListener::hasRecentConnection() const
 {
     return this->acceptor.is_open() && this->clock->now() - this->acceptedAt < MinIdleTime;
 }
 
-std::size_t HttpListener::unfinished() const
+std::size_t HttpListener::unfinishedSessions() const
 {
     std::size_t count = 0;
     for (const auto& [number, item] : this->openSessions) {
@@ -180,7 +180,7 @@
     }
 }
 
-void HttpListener::tend()
+void HttpListener::closeExpiredSessions()
 {
     this->removeClosed();
     std::vector<std::shared_ptr<HttpSession>> sessions;
--- a/Source/Http/HttpListener.h
+++ b/Source/Http/HttpListener.h
@@ -31,8 +31,8 @@
      * established are accepted. Callers get no error and keep trying, so
      * stopAccepting() should follow soon.
      */
-    void refuseNew();
-    bool refusesNew() const { return this->isRefusing; }
+    void refuseNewConnections();
+    bool isRefusingNewConnections() const { return this->isRefusing; }
     /** Accepts the connections that are already established and closes the listening socket. */
     void stopAccepting();
     /** From now on, sessions close their connection after the answer to their newest request. */
@@ -40,14 +40,14 @@
     /** Closes sessions that were idle for 200 ms; the caller of a newer one may be about to send a request. */
     void closeIdle();
     /** Closes sessions that exceed their time limits; to be called about once a second. */
-    void tend();
+    void closeExpiredSessions();
     /**
      * The number of sessions that wait for an answer or are writing one. After
      * closeAfterAnswers() also counts those whose caller may be sending a request.
      */
-    std::size_t unfinished() const;
+    std::size_t unfinishedSessions() const;
     /** Returns true if a caller connected within the last 200 ms, so that others may be about to connect. */
-    bool isSought() const;
+    bool hasRecentConnection() const;
     std::size_t sessions() const { return this->openSessions.size(); }
     std::uint64_t refusedSessions() const { return this->refusedCount; }
 
--- a/Source/Http/HttpSession.cpp
+++ b/Source/Http/HttpSession.cpp
@@ -157,12 +157,12 @@
 
 void HttpSession::startRequest()
 {
-    ReadRequest request = std::move(*this->completeRequest);
+    ReceivedRequest request = std::move(*this->completeRequest);
     this->completeRequest.reset();
     request.number = this->answers.addRequest({ .version = request.message.version(),
         .isHeadRequest = request.message.method() == http::verb::head,
         .keepsConnection = request.message.keep_alive() });
-    this->handler->requestRead(this->shared_from_this(), std::move(request));
+    this->handler->requestReceived(this->shared_from_this(), std::move(request));
 }
 
 void HttpSession::sendContinueIfExpected()
--- a/Source/Http/HttpSession.h
+++ b/Source/Http/HttpSession.h
@@ -27,7 +27,7 @@
 };
 
 /** A complete request of a connection. */
-struct ReadRequest {
+struct ReceivedRequest {
     HttpRequestNumber number = 0;
     HttpRequest message;
     Milliseconds readAt; // time at which it was complete; it may have waited since for the answers to earlier requests
@@ -41,7 +41,7 @@
      * Called for each request; must be answered by HttpSession::answer() with the request's number. Other requests of
      * the session may still be unanswered.
      */
-    virtual void requestRead(const std::shared_ptr<HttpSession>& session, ReadRequest request) = 0;
+    virtual void requestReceived(const std::shared_ptr<HttpSession>& session, ReceivedRequest request) = 0;
     /** Called for an unreadable request. It must be answered too; the connection is closed afterwards. */
     virtual void requestUnreadable(
         const std::shared_ptr<HttpSession>& session, HttpRequestNumber request, HttpRequestProblem problem)
@@ -137,7 +137,7 @@
     const HttpSessionLimits* limits;
     AnswerQueue answers;
     std::optional<Parser> parser;
-    std::optional<ReadRequest> completeRequest; // complete, but not passed to the handler yet
+    std::optional<ReceivedRequest> completeRequest; // complete, but not passed to the handler yet
     static constexpr std::size_t ReadSize = 8192;
     std::array<char, ReadSize> chunk{};
     std::string input; // read, not yet parsed
--- a/Source/Limits/LimitBook.cpp
+++ b/Source/Limits/LimitRegistry.cpp
@@ -1,32 +1,33 @@
-#include "Limits/LimitBook.h"
+#include "Limits/LimitRegistry.h"
 
 #include <algorithm>
 
 namespace burlreach {
 
-LimitBook::LimitBook(Options givenOptions)
+LimitRegistry::LimitRegistry(Options givenOptions)
     : options(givenOptions)
 {
 }
 
-LimitChange LimitBook::heard(
+LimitChange LimitRegistry::recordLimit(
     const std::string& backendServer, std::uint64_t life, double perSecond, Milliseconds sentAt, Milliseconds now)
 {
-    return this->apply(backendServer, { .life = life, .perSecond = perSecond, .at = now, .isHeardHere = true }, sentAt);
+    return this->apply(
+        backendServer, { .life = life, .perSecond = perSecond, .at = now, .isReceivedDirectly = true }, sentAt);
 }
 
-LimitChange LimitBook::answered(const std::string& backendServer, std::uint64_t life, Milliseconds sentAt)
+LimitChange LimitRegistry::recordAnswer(const std::string& backendServer, std::uint64_t life, Milliseconds sentAt)
 {
     return this->apply(
-        backendServer, { .life = life, .perSecond = std::nullopt, .at = sentAt, .isHeardHere = true }, sentAt);
+        backendServer, { .life = life, .perSecond = std::nullopt, .at = sentAt, .isReceivedDirectly = true }, sentAt);
 }
 
-LimitChange LimitBook::told(const std::string& backendServer, const LimitStatement& statement)
+LimitChange LimitRegistry::mergeFromPeer(const std::string& backendServer, const LimitReport& statement)
 {
     return this->apply(backendServer, statement, statement.at - this->options.maxMessageDelay);
 }
 
-LimitChange LimitBook::apply(const std::string& backendServer, const LimitStatement& next, Milliseconds validFrom)
+LimitChange LimitRegistry::apply(const std::string& backendServer, const LimitReport& next, Milliseconds validFrom)
 {
     const auto found = this->statements.find(backendServer);
     const bool isKnown = found != this->statements.end();
@@ -42,7 +43,7 @@
             this->forgetOldest();
         return LimitChange::Begun;
     }
-    LimitStatement& known = found->second;
+    LimitReport& known = found->second;
     const bool isLoosened = known.perSecond && (!next.perSecond || *next.perSecond > *known.perSecond);
     if (next.at <= known.at || (isLoosened && validFrom <= known.at))
         return LimitChange::None;
@@ -55,35 +56,35 @@
     return before ? LimitChange::Adjusted : LimitChange::Begun;
 }
 
-void LimitBook::forgetOldest()
+void LimitRegistry::forgetOldest()
 {
     const auto oldest = std::min_element(this->statements.begin(), this->statements.end(),
         [](const auto& one, const auto& other) { return one.second.at < other.second.at; });
     this->statements.erase(oldest);
 }
 
-void LimitBook::tick(Milliseconds now)
+void LimitRegistry::tick(Milliseconds now)
 {
     std::erase_if(this->statements, [&](const auto& item) {
         return !item.second.perSecond && now - item.second.at > this->options.endedLimitKept;
     });
 }
 
-const LimitStatement* LimitBook::find(std::string_view backendServer, std::uint64_t life) const
+const LimitReport* LimitRegistry::find(std::string_view backendServer, std::uint64_t life) const
 {
-    const LimitStatement* statement = this->find(backendServer);
+    const LimitReport* statement = this->find(backendServer);
     return statement && statement->life == life ? statement : nullptr;
 }
 
-const LimitStatement* LimitBook::find(std::string_view backendServer) const
+const LimitReport* LimitRegistry::find(std::string_view backendServer) const
 {
     const auto found = this->statements.find(backendServer);
     return found != this->statements.end() ? &found->second : nullptr;
 }
 
-std::optional<double> LimitBook::limitOf(std::string_view backendServer, std::uint64_t life) const
+std::optional<double> LimitRegistry::limitOf(std::string_view backendServer, std::uint64_t life) const
 {
-    const LimitStatement* statement = this->find(backendServer, life);
+    const LimitReport* statement = this->find(backendServer, life);
     return statement ? statement->perSecond : std::nullopt;
 }
 
--- a/Source/Limits/LimitBook.h
+++ b/Source/Limits/LimitRegistry.h
@@ -12,11 +12,11 @@
 namespace burlreach {
 
 /** The latest report about the limit of one life of a backend server. */
-struct LimitStatement {
+struct LimitReport {
     std::uint64_t life = 0;
     std::optional<double> perSecond; // requests from all instances together; nullopt: the limit has ended
     Milliseconds at; // when the limit was received; for the end of a limit: when the answered request was sent
-    bool isHeardHere = false; // received in an answer to this instance, not from another instance
+    bool isReceivedDirectly = false; // received in an answer to this instance, not from another instance
 };
 
 /** What a report changed. */
@@ -33,7 +33,7 @@
  * Only a newer report replaces another one. Answers can overtake each other, so a report that raises or ends a limit is
  * accepted only if its request was sent after the present limit was received. A lower limit is accepted at once.
  */
-class LimitBook {
+class LimitRegistry {
 public:
     struct Options {
         /** The server with the oldest report is dropped first. About 1 MB. */
@@ -44,35 +44,35 @@
         Milliseconds endedLimitKept{ 10000 };
     };
 
-    explicit LimitBook(Options options);
+    explicit LimitRegistry(Options options);
 
     /** An answer to a request that was sent at `sentAt` reported a limit. */
-    LimitChange heard(
+    LimitChange recordLimit(
         const std::string& backendServer, std::uint64_t life, double perSecond, Milliseconds sentAt, Milliseconds now);
     /**
      * A complete answer arrived to a request that was sent at `sentAt`. If it reported a limit, that has been
      * recorded before; otherwise the server has no limit any more.
      */
-    LimitChange answered(const std::string& backendServer, std::uint64_t life, Milliseconds sentAt);
+    LimitChange recordAnswer(const std::string& backendServer, std::uint64_t life, Milliseconds sentAt);
     /** Another instance passed on a report. */
-    LimitChange told(const std::string& backendServer, const LimitStatement& statement);
+    LimitChange mergeFromPeer(const std::string& backendServer, const LimitReport& statement);
     /** Removes limits that ended some time ago. */
     void tick(Milliseconds now);
 
     /** The limit of this life; nullopt without one. */
     std::optional<double> limitOf(std::string_view backendServer, std::uint64_t life) const;
     /** The latest report of this life; null without one. */
-    const LimitStatement* find(std::string_view backendServer, std::uint64_t life) const;
+    const LimitReport* find(std::string_view backendServer, std::uint64_t life) const;
     /** The latest report of the server, whatever its life. */
-    const LimitStatement* find(std::string_view backendServer) const;
-    const std::map<std::string, LimitStatement, std::less<>>& all() const { return this->statements; }
+    const LimitReport* find(std::string_view backendServer) const;
+    const std::map<std::string, LimitReport, std::less<>>& all() const { return this->statements; }
 
 private:
-    LimitChange apply(const std::string& backendServer, const LimitStatement& next, Milliseconds validFrom);
+    LimitChange apply(const std::string& backendServer, const LimitReport& next, Milliseconds validFrom);
     void forgetOldest();
 
     Options options;
-    std::map<std::string, LimitStatement, std::less<>> statements; // by id
+    std::map<std::string, LimitReport, std::less<>> statements; // by id
 };
 
 }
--- a/Source/Measurement/ProbeDesk.cpp
+++ b/Source/Measurement/ProbeManager.cpp
@@ -1,4 +1,4 @@
-#include "Measurement/ProbeDesk.h"
+#include "Measurement/ProbeManager.h"
 
 #include <algorithm>
 #include <cmath>
@@ -28,19 +28,19 @@
 
 }
 
-ProbeDesk::ProbeDesk(Options givenOptions, Random& givenRandom)
+ProbeManager::ProbeManager(Options givenOptions, Random& givenRandom)
     : options(std::move(givenOptions))
     , random(&givenRandom)
 {
 }
 
-void ProbeDesk::setFleet(std::size_t instanceCount, std::size_t dataCentreCount)
+void ProbeManager::setFleet(std::size_t instanceCount, std::size_t dataCentreCount)
 {
     this->instances = std::max(instanceCount, FewestInstances);
     this->dataCentres = std::max<std::size_t>(dataCentreCount, 1);
 }
 
-double ProbeDesk::shareFor(const BackendServerState& server, double share) const
+double ProbeManager::shareFor(const BackendServerState& server, double share) const
 {
     const double budget = this->options.fleetPerSecond * share;
     const auto all = static_cast<double>(std::max(this->instances, FewestInstances));
@@ -50,7 +50,7 @@
     return budget * this->options.farShare / std::max(1.0, all - near);
 }
 
-bool ProbeDesk::takeFromBudget(const BackendServerState& server, double share, Milliseconds now)
+bool ProbeManager::takeFromBudget(const BackendServerState& server, double share, Milliseconds now)
 {
     const double part = this->shareFor(server, share);
     if (part <= 0)
@@ -58,13 +58,13 @@
     return this->budget.take(server.id(), { .perSecond = part, .window = windowFor(part) }, *this->random, now);
 }
 
-void ProbeDesk::forget(const std::string& backendServer)
+void ProbeManager::forget(const std::string& backendServer)
 {
     this->budget.forget(backendServer);
     this->inFlight.erase(backendServer);
 }
 
-std::optional<Probe> ProbeDesk::start(
+std::optional<Probe> ProbeManager::start(
     const std::shared_ptr<BackendServerState>& server, const std::string& path, double share, Milliseconds now)
 {
     if (path.empty() || this->isInFlight(server->id()) || !this->takeFromBudget(*server, share, now))
@@ -80,7 +80,7 @@
         .timeout = this->options.timeout };
 }
 
-std::shared_ptr<BackendServerState> ProbeDesk::ended(ProbeNumber number)
+std::shared_ptr<BackendServerState> ProbeManager::ended(ProbeNumber number)
 {
     const auto found = this->serversByProbe.find(number);
     if (found == this->serversByProbe.end())
--- a/Source/Measurement/ProbeDesk.h
+++ b/Source/Measurement/ProbeManager.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Base/DealtBudget.h"
+#include "Base/LocalBudgetShare.h"
 #include "Base/Milliseconds.h"
 #include "Base/NetworkAddress.h"
 #include "Base/Random.h"
@@ -31,7 +31,7 @@
 struct ProbeEnd {
     bool isAnswered = false;
     bool isOtherServer = false; // another backend server now has the address
-    std::optional<LoadFigures> load;
+    std::optional<ReportedLoad> load;
     std::optional<Milliseconds> coldRemaining; // as the server reported it; zero: it is warm
 };
 
@@ -43,9 +43,9 @@
  * data centre, because they send it most of its requests. There is at most one probe to a server in flight from an
  * instance; all requests that need the answer wait for that one.
  *
- * The share of an instance may be far less than one probe a second; DealtBudget explains how it is spent.
+ * The share of an instance may be far less than one probe a second; LocalBudgetShare explains how it is spent.
  */
-class ProbeDesk {
+class ProbeManager {
 public:
     struct Options {
         Milliseconds timeout{ 250 };
@@ -55,7 +55,7 @@
         double farShare = 0.2; // for all other instances; windowFor() explains the rest
     };
 
-    ProbeDesk(Options options, Random& random);
+    ProbeManager(Options options, Random& random);
 
     /** Sets the known size of the fleet. Instances are assumed to be spread evenly over the data centres. */
     void setFleet(std::size_t instances, std::size_t dataCentres);
@@ -82,7 +82,7 @@
     std::size_t instances = 1;
     std::size_t dataCentres = 1;
     ProbeNumber lastNumber = 0;
-    DealtBudget budget;
+    LocalBudgetShare budget;
     std::unordered_map<std::string, ProbeNumber> inFlight;
     std::unordered_map<ProbeNumber, std::shared_ptr<BackendServerState>> serversByProbe;
 };
--- a/Source/Measurement/ServerSearch.cpp
+++ b/Source/Measurement/ServerSearch.cpp
@@ -19,15 +19,15 @@
 
 }
 
-ServerSearch::ServerSearch(Options givenOptions, Parts givenParts)
+ServerSearch::ServerSearch(Options givenOptions, Dependencies givenParts)
     : options(std::move(givenOptions))
-    , parts(givenParts)
+    , dependencies(givenParts)
 {
 }
 
-RequestSearch ServerSearch::begin(const SearchInput& input, Milliseconds now) const
+ServerSearchState ServerSearch::begin(const SearchInput& input, Milliseconds now) const
 {
-    RequestSearch search;
+    ServerSearchState search;
     search.arrivedAt = now;
     search.inTimeUntil = now + input.target - input.spent;
     search.usualTime = input.usualTime;
@@ -36,14 +36,15 @@
     return search;
 }
 
-bool ServerSearch::ask(RequestSearch& search, const ServiceDescription& service, const ServicePool& pool,
+bool ServerSearch::startRound(ServerSearchState& search, const ServiceDescription& service, const ServicePool& pool,
     const RoutingContext& context, std::vector<Probe>& probes) const
 {
     if (search.rounds >= this->options.mostRounds)
         return false;
     unsigned known = 0;
-    for (const auto& server : pool.probeCandidates(this->options.candidatesPerRound, context, *this->parts.random)) {
-        if (known == this->options.askedAtOnce)
+    for (const auto& server :
+        pool.probeCandidates(this->options.candidatesPerRound, context, *this->dependencies.random)) {
+        if (known == this->options.serversPerRound)
             break;
         const Milliseconds age = context.now - server->report().at;
         const bool isFresh = age <= this->options.reportFreshFor;
@@ -51,41 +52,42 @@
             || age <= this->options.reportUsableFor)
             ++known;
     }
-    if (search.asked.empty())
+    if (search.awaitedServers.empty())
         return false;
     ++search.rounds;
-    search.askUntil = context.now + this->options.maxRoundTime;
+    search.roundEndsAt = context.now + this->options.maxRoundTime;
     return true;
 }
 
-bool ServerSearch::mayAsk(const RequestSearch& search, Milliseconds now) const
+bool ServerSearch::mayStartRound(const ServerSearchState& search, Milliseconds now) const
 {
     return search.rounds < this->options.mostRounds && now < search.holdUntil;
 }
 
-bool ServerSearch::probeServer(const std::shared_ptr<BackendServerState>& server, RequestSearch& search,
+bool ServerSearch::probeServer(const std::shared_ptr<BackendServerState>& server, ServerSearchState& search,
     const ServiceDescription& service, Milliseconds now, std::vector<Probe>& probes) const
 {
-    auto probe = this->parts.probes->start(server, service.probePath, service.probeShare, now);
+    auto probe = this->dependencies.probes->start(server, service.probePath, service.probeShare, now);
     if (probe) {
-        this->parts.counters->add(DecisionCount::ProbesSent);
+        this->dependencies.counters->add(DecisionCount::ProbesSent);
         probes.push_back(std::move(*probe));
-    } else if (!this->parts.probes->isInFlight(server->id())) {
-        this->parts.counters->add(DecisionCount::ProbesDenied);
+    } else if (!this->dependencies.probes->isInFlight(server->id())) {
+        this->dependencies.counters->add(DecisionCount::ProbesDenied);
         return false;
     }
-    search.asked.push_back(server->id());
+    search.awaitedServers.push_back(server->id());
     return true;
 }
 
-bool ServerSearch::isEnough(RequestSearch& search, const BackendServerState& server, Milliseconds now) const
+bool ServerSearch::isProbingDone(ServerSearchState& search, const BackendServerState& server, Milliseconds now) const
 {
-    if (!std::erase(search.asked, server.id()))
+    if (!std::erase(search.awaitedServers, server.id()))
         return false;
-    return search.asked.empty() || this->isGoodEnough(server, search, now);
+    return search.awaitedServers.empty() || this->isGoodEnough(server, search, now);
 }
 
-bool ServerSearch::isGoodEnough(const BackendServerState& server, const RequestSearch& search, Milliseconds now) const
+bool ServerSearch::isGoodEnough(
+    const BackendServerState& server, const ServerSearchState& search, Milliseconds now) const
 {
     const ExpectedLoad load = expectedLoadOf(server, poolLoadOf({}), now);
     const bool isNear = server.record().dataCentre == this->options.dataCentre;
@@ -95,14 +97,14 @@
         && server.report().at >= search.arrivedAt;
 }
 
-double ServerSearch::longestWork(const RequestSearch& search, Milliseconds now) const
+double ServerSearch::longestWork(const ServerSearchState& search, Milliseconds now) const
 {
     if (now >= search.holdUntil)
         return std::numeric_limits<double>::infinity();
     return longestWorkInTime(search, now);
 }
 
-double ServerSearch::longestWorkInTime(const RequestSearch& search, Milliseconds now)
+double ServerSearch::longestWorkInTime(const ServerSearchState& search, Milliseconds now)
 {
     const double inTime = (search.inTimeUntil - now) / std::max(search.usualTime, Milliseconds{ 1 });
     return std::max(inTime, UsualWorkFactor);
--- a/Source/Measurement/ServerSearch.h
+++ b/Source/Measurement/ServerSearch.h
@@ -2,7 +2,7 @@
 
 #include "Base/Random.h"
 #include "Configuration/RoutingConfiguration.h"
-#include "Measurement/ProbeDesk.h"
+#include "Measurement/ProbeManager.h"
 #include "Metrics/DecisionCounters.h"
 #include "Routing/ServicePool.h"
 
@@ -13,14 +13,14 @@
 namespace burlreach {
 
 /** The state of a request's search for a backend server that can answer it in time. */
-struct RequestSearch {
+struct ServerSearchState {
     Milliseconds arrivedAt;
     Milliseconds inTimeUntil; // answers after this time are late
     Milliseconds usualTime; // time in which an unloaded server answers such a request
     Milliseconds holdUntil; // until then the request is not sent to servers where it would be late
-    Milliseconds askUntil = Never; // end of the current round of probes
+    Milliseconds roundEndsAt = Never; // end of the current round of probes
     unsigned rounds = 0; // rounds of probes so far
-    std::vector<std::string> asked; // backend servers whose load reports are awaited
+    std::vector<std::string> awaitedServers; // backend servers whose load reports are awaited
 };
 
 /**
@@ -38,7 +38,7 @@
 class ServerSearch {
 public:
     struct Options {
-        unsigned askedAtOnce = 6; // servers whose reports should be fresh before a choice
+        unsigned serversPerRound = 6; // servers whose reports should be fresh before a choice
         std::size_t candidatesPerRound = 24; // best servers considered; those that may not be probed are skipped
         unsigned mostRounds = 6; // of probes for one request
         Milliseconds reportFreshFor{ 25 }; // a server with a younger report is not probed again
@@ -49,8 +49,8 @@
     };
 
     /** All must outlive this object. */
-    struct Parts {
-        ProbeDesk* probes = nullptr;
+    struct Dependencies {
+        ProbeManager* probes = nullptr;
         Random* random = nullptr;
         DecisionCounters* counters = nullptr;
     };
@@ -62,32 +62,32 @@
         Milliseconds usualTime;
     };
 
-    ServerSearch(Options options, Parts parts);
+    ServerSearch(Options options, Dependencies parts);
 
-    RequestSearch begin(const SearchInput& input, Milliseconds now) const;
+    ServerSearchState begin(const SearchInput& input, Milliseconds now) const;
     /** Starts a round and appends its probes to `probes`; false when there is nothing to wait for. */
-    bool ask(RequestSearch& search, const ServiceDescription& service, const ServicePool& pool,
+    bool startRound(ServerSearchState& search, const ServiceDescription& service, const ServicePool& pool,
         const RoutingContext& context, std::vector<Probe>& probes) const;
     /** True while another round of probes may start and find a better server than one without a recent report. */
-    bool mayAsk(const RequestSearch& search, Milliseconds now) const;
+    bool mayStartRound(const ServerSearchState& search, Milliseconds now) const;
     /** A probed server has answered or failed to answer: true when a server should be chosen for the request now. */
-    bool isEnough(RequestSearch& search, const BackendServerState& server, Milliseconds now) const;
+    bool isProbingDone(ServerSearchState& search, const BackendServerState& server, Milliseconds now) const;
     /**
      * How many times longer than usual work may take at a server for it to be chosen now; infinite when any server is
      * better than none.
      */
-    double longestWork(const RequestSearch& search, Milliseconds now) const;
+    double longestWork(const ServerSearchState& search, Milliseconds now) const;
     /** The same for an attempt that is useless when it is late, such as a hedge. */
-    static double longestWorkInTime(const RequestSearch& search, Milliseconds now);
+    static double longestWorkInTime(const ServerSearchState& search, Milliseconds now);
 
 private:
     /** Probes a server, or awaits the probe in flight to it; false when the budget does not allow a probe. */
-    bool probeServer(const std::shared_ptr<BackendServerState>& server, RequestSearch& search,
+    bool probeServer(const std::shared_ptr<BackendServerState>& server, ServerSearchState& search,
         const ServiceDescription& service, Milliseconds now, std::vector<Probe>& probes) const;
-    bool isGoodEnough(const BackendServerState& server, const RequestSearch& search, Milliseconds now) const;
+    bool isGoodEnough(const BackendServerState& server, const ServerSearchState& search, Milliseconds now) const;
 
     Options options;
-    Parts parts;
+    Dependencies dependencies;
 };
 
 }
--- a/Source/Membership/ContactBook.cpp
+++ b/Source/Membership/ContactRegistry.cpp
@@ -1,16 +1,16 @@
-#include "Membership/ContactBook.h"
+#include "Membership/ContactRegistry.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace burlreach {
 
-ContactBook::ContactBook(Options givenOptions)
+ContactRegistry::ContactRegistry(Options givenOptions)
     : options(std::move(givenOptions))
 {
 }
 
-void ContactBook::learn(const NetworkAddress& address)
+void ContactRegistry::learn(const NetworkAddress& address)
 {
     if (address == this->options.own)
         return;
@@ -20,7 +20,7 @@
         this->addresses.pop_front();
 }
 
-std::vector<NetworkAddress> ContactBook::some(std::size_t most, Random& random) const
+std::vector<NetworkAddress> ContactRegistry::some(std::size_t most, Random& random) const
 {
     std::vector<NetworkAddress> left(this->addresses.begin(), this->addresses.end());
     std::vector<NetworkAddress> found;
--- a/Source/Membership/ContactBook.h
+++ b/Source/Membership/ContactRegistry.h
@@ -10,14 +10,14 @@
 namespace burlreach {
 
 /** The addresses of recently known instances; when it is full, a new address replaces the oldest one. */
-class ContactBook {
+class ContactRegistry {
 public:
     struct Options {
         NetworkAddress own; // the address of this instance, which is never added
         std::size_t maximumAddresses = 24;
     };
 
-    explicit ContactBook(Options options);
+    explicit ContactRegistry(Options options);
 
     /** Adds the address, or moves it to the newest position. */
     void learn(const NetworkAddress& address);
--- a/Source/Membership/NewsTree.cpp
+++ b/Source/Membership/GossipTree.cpp
@@ -1,4 +1,4 @@
-#include "Membership/NewsTree.h"
+#include "Membership/GossipTree.h"
 
 #include "Base/Hash.h"
 
@@ -28,8 +28,8 @@
 
 }
 
-std::vector<NewsBranch> firstBranches(
-    std::span<const KnownMember> members, const NewsTreeOptions& options, Milliseconds now)
+std::vector<GossipBranch> rootBranches(
+    std::span<const KnownMember> members, const GossipTreeOptions& options, Milliseconds now)
 {
     std::map<std::string_view, std::vector<Receiver>> dataCentres;
     for (const KnownMember& known : members) {
@@ -39,7 +39,7 @@
             .order = hashOf(options.origin + ' ' + member.incarnation().name()),
             .address = addressOf(member) });
     }
-    std::vector<NewsBranch> branches;
+    std::vector<GossipBranch> branches;
     for (auto& [name, receivers] : dataCentres) {
         std::sort(receivers.begin(), receivers.end(), &isBefore);
         std::vector<NetworkAddress> addresses;
@@ -47,15 +47,15 @@
         for (Receiver& receiver : receivers)
             addresses.push_back(std::move(receiver.address));
         const std::size_t most = name == options.dataCentre ? options.mostBranches : options.branchesElsewhere;
-        for (NewsBranch& branch : branchesOf(addresses, most))
+        for (GossipBranch& branch : splitIntoBranches(addresses, most))
             branches.push_back(std::move(branch));
     }
     return branches;
 }
 
-std::vector<NewsBranch> branchesOf(std::span<const NetworkAddress> receivers, std::size_t mostBranches)
+std::vector<GossipBranch> splitIntoBranches(std::span<const NetworkAddress> receivers, std::size_t mostBranches)
 {
-    std::vector<NewsBranch> branches;
+    std::vector<GossipBranch> branches;
     const std::size_t count = std::min(receivers.size(), mostBranches);
     branches.reserve(count);
     for (std::size_t index = 0; index < count; ++index)
--- a/Source/Membership/NewsTree.h
+++ b/Source/Membership/GossipTree.h
@@ -11,13 +11,13 @@
 namespace burlreach {
 
 /** An instance that is sent a gossip update, and the instances to which it forwards it. */
-struct NewsBranch {
+struct GossipBranch {
     NetworkAddress receiver;
     std::vector<NetworkAddress> relayTo;
 };
 
 /** How gossip updates spread from the instance that creates them. */
-struct NewsTreeOptions {
+struct GossipTreeOptions {
     std::string origin; // name of the instance that creates the updates
     std::string dataCentre; // of that instance
     std::size_t mostBranches = 8; // direct receivers in the same data centre
@@ -32,10 +32,10 @@
  * last. The order of the others depends on the origin, so that the loss of one instance does not cut others off from
  * the updates of all origins.
  */
-std::vector<NewsBranch> firstBranches(
-    std::span<const KnownMember> members, const NewsTreeOptions& options, Milliseconds now);
+std::vector<GossipBranch> rootBranches(
+    std::span<const KnownMember> members, const GossipTreeOptions& options, Milliseconds now);
 
 /** Distributes the receivers over at most this many branches; every forwarding instance does the same. */
-std::vector<NewsBranch> branchesOf(std::span<const NetworkAddress> receivers, std::size_t mostBranches);
+std::vector<GossipBranch> splitIntoBranches(std::span<const NetworkAddress> receivers, std::size_t mostBranches);
 
 }
--- a/Source/Membership/MemberTable.cpp
+++ b/Source/Membership/MemberTable.cpp
@@ -21,7 +21,7 @@
     return found == this->list.end() ? nullptr : &*found;
 }
 
-bool MemberTable::heard(const peers::Member& member, StoreRevision revision, Milliseconds now)
+bool MemberTable::update(const peers::Member& member, StoreRevision revision, Milliseconds now)
 {
     const auto found = std::find_if(this->list.begin(), this->list.end(),
         [&](const KnownMember& known) { return known.member.incarnation().name() == member.incarnation().name(); });
@@ -40,7 +40,7 @@
     return isNewLife;
 }
 
-void MemberTable::allWereTold(StoreRevision revision)
+void MemberTable::recordSentThrough(StoreRevision revision)
 {
     for (KnownMember& known : this->list) {
         if (!known.revision)
--- a/Source/Membership/MemberTable.h
+++ b/Source/Membership/MemberTable.h
@@ -39,9 +39,9 @@
     explicit MemberTable(Options options);
 
     /** Adds or updates a member; true when this life was not known. A life earlier than the known one is ignored. */
-    bool heard(const peers::Member& member, StoreRevision revision, Milliseconds now);
+    bool update(const peers::Member& member, StoreRevision revision, Milliseconds now);
     /** Records that all members with revision 0 were sent everything up to this revision. */
-    void allWereTold(StoreRevision revision);
+    void recordSentThrough(StoreRevision revision);
     /** Removes members without a recent message. */
     void tick(Milliseconds now);
 
--- a/Source/Membership/PullPlan.cpp
+++ b/Source/Membership/PullScheduler.cpp
@@ -1,15 +1,16 @@
-#include "Membership/PullPlan.h"
+#include "Membership/PullScheduler.h"
 
 #include <algorithm>
 
 namespace burlreach {
 
-PullPlan::PullPlan(Options givenOptions)
+PullScheduler::PullScheduler(Options givenOptions)
     : options(givenOptions)
 {
 }
 
-void PullPlan::behind(const peers::Member& origin, std::uint64_t revision, bool heldChanges, Milliseconds now)
+void PullScheduler::recordMissingChanges(
+    const peers::Member& origin, std::uint64_t revision, bool heldChanges, Milliseconds now)
 {
     if (revision >= this->wantedRevision)
         this->newestOrigin = origin;
@@ -18,14 +19,14 @@
     this->nextPull = std::min(this->nextPull, due);
 }
 
-void PullPlan::promised(Milliseconds now)
+void PullScheduler::recordAnnouncedPush(Milliseconds now)
 {
     // A further announcement does not extend the wait that the first one began.
     if (now >= this->pushExpectedUntil)
         this->pushExpectedUntil = now + this->options.pushTimeout;
 }
 
-void PullPlan::reached(std::uint64_t revision)
+void PullScheduler::recordReachedRevision(std::uint64_t revision)
 {
     if (revision < this->wantedRevision)
         return;
@@ -34,7 +35,7 @@
     this->pushExpectedUntil = LongAgo;
 }
 
-std::optional<peers::Member> PullPlan::next(Milliseconds now)
+std::optional<peers::Member> PullScheduler::next(Milliseconds now)
 {
     if (!this->wantedRevision || now < this->nextDue())
         return std::nullopt;
@@ -42,7 +43,7 @@
     return this->newestOrigin;
 }
 
-Milliseconds PullPlan::nextDue() const
+Milliseconds PullScheduler::nextDue() const
 {
     return this->wantedRevision ? std::max({ this->nextPull, this->pullTimeoutAt, this->pushExpectedUntil }) : Never;
 }
--- a/Source/Membership/PullPlan.h
+++ b/Source/Membership/PullScheduler.h
@@ -16,7 +16,7 @@
  * an update without changes the pull is delayed, since the update of the leading watcher usually brings them. After an
  * announced push the pull waits for it.
  */
-class PullPlan {
+class PullScheduler {
 public:
     struct Options {
         Milliseconds updateDelay{ 200 }; // delay of the pull after an update without changes
@@ -26,18 +26,18 @@
         Milliseconds pushTimeout{ 900 };
     };
 
-    explicit PullPlan(Options givenOptions);
+    explicit PullScheduler(Options givenOptions);
 
     /** An update of this origin named a later revision than this instance has, and could not be applied. */
-    void behind(const peers::Member& origin, std::uint64_t revision, bool heldChanges, Milliseconds now);
+    void recordMissingChanges(const peers::Member& origin, std::uint64_t revision, bool heldChanges, Milliseconds now);
     /** An update announced a push with the missing changes. */
-    void promised(Milliseconds now);
+    void recordAnnouncedPush(Milliseconds now);
     /** The announced push was received, whatever its content. */
-    void delivered() { this->pushExpectedUntil = LongAgo; }
+    void recordReceivedPush() { this->pushExpectedUntil = LongAgo; }
     /** This instance now has all changes up to this revision. */
-    void reached(std::uint64_t revision);
+    void recordReachedRevision(std::uint64_t revision);
     /** An answer to a pull was received, whatever its content. */
-    void answered() { this->pullTimeoutAt = LongAgo; }
+    void recordAnswer() { this->pullTimeoutAt = LongAgo; }
     /** The instance to pull from now, if a pull is due; the pull then counts as under way. */
     std::optional<peers::Member> next(Milliseconds now);
     Milliseconds nextDue() const;
--- a/Source/Membership/WatchDuty.cpp
+++ b/Source/Membership/WatcherSelection.cpp
@@ -1,4 +1,4 @@
-#include "Membership/WatchDuty.h"
+#include "Membership/WatcherSelection.h"
 
 #include "Base/Hash.h"
 
@@ -33,18 +33,18 @@
 
 }
 
-WatchDuty::WatchDuty(Options givenOptions)
+WatcherSelection::WatcherSelection(Options givenOptions)
     : options(std::move(givenOptions))
     , ownRank(rankOf(this->options.ownName, this->options.ownCapacity))
 {
 }
 
-WatchDuty::Rank WatchDuty::rankOf(std::string_view name, std::uint32_t capacity)
+WatcherSelection::Rank WatcherSelection::rankOf(std::string_view name, std::uint32_t capacity)
 {
     return { .invertedCapacity = ~capacity, .hash = hashOf(name, RankSeed) };
 }
 
-WatchDuty::Watcher* WatchDuty::findOrAdd(const peers::Member& member)
+WatcherSelection::Watcher* WatcherSelection::findOrAdd(const peers::Member& member)
 {
     const std::string& name = member.incarnation().name();
     if (name == this->options.ownName)
@@ -64,7 +64,7 @@
     return &*found;
 }
 
-void WatchDuty::heardWatcher(const peers::Member& member, Milliseconds confirmedAt, Milliseconds now)
+void WatcherSelection::recordWatcherMessage(const peers::Member& member, Milliseconds confirmedAt, Milliseconds now)
 {
     Watcher* watcher = this->findOrAdd(member);
     if (!watcher)
@@ -74,7 +74,7 @@
     watcher->updatedAt = now;
 }
 
-bool WatchDuty::knows(const peers::Incarnation& watcher) const
+bool WatcherSelection::knows(const peers::Incarnation& watcher) const
 {
     return std::any_of(this->known.begin(), this->known.end(), [&](const Watcher& item) {
         return item.member.incarnation().name() == watcher.name()
@@ -82,25 +82,25 @@
     });
 }
 
-void WatchDuty::toldOfWatcher(const peers::Member& member, Milliseconds now)
+void WatcherSelection::recordNamedWatcher(const peers::Member& member, Milliseconds now)
 {
     if (Watcher* watcher = this->findOrAdd(member))
         watcher->lastNamedAt = now;
 }
 
-bool WatchDuty::isActive(const Watcher& watcher, Milliseconds now) const
+bool WatcherSelection::isActive(const Watcher& watcher, Milliseconds now) const
 {
     return now - watcher.confirmedAt <= this->options.expireAfter;
 }
 
-bool WatchDuty::isCalling(const Watcher& watcher, Milliseconds now) const
+bool WatcherSelection::isCalling(const Watcher& watcher, Milliseconds now) const
 {
     // The same bound as for the age of knowledge, so that a watcher that ended is noticed no later than the lack of its
     // updates.
     return now < watcher.updatedAt + this->options.staleAfter;
 }
 
-Milliseconds WatchDuty::othersUnansweredUntil(Milliseconds now) const
+Milliseconds WatcherSelection::othersUnansweredUntil(Milliseconds now) const
 {
     Milliseconds until = LongAgo;
     for (const Watcher& watcher : this->known) {
@@ -113,7 +113,7 @@
     return until;
 }
 
-std::size_t WatchDuty::countComparableWatchers(Milliseconds now) const
+std::size_t WatcherSelection::countComparableWatchers(Milliseconds now) const
 {
     return static_cast<std::size_t>(std::count_if(this->known.begin(), this->known.end(), [&](const Watcher& watcher) {
         const bool isWatcher = this->isActive(watcher, now) || this->isCalling(watcher, now);
@@ -121,35 +121,35 @@
     }));
 }
 
-std::size_t WatchDuty::countCallingBelow(Milliseconds now) const
+std::size_t WatcherSelection::countCallingBelow(Milliseconds now) const
 {
     return static_cast<std::size_t>(std::count_if(this->known.begin(), this->known.end(),
         [&](const Watcher& watcher) { return watcher.rank < this->ownRank && this->isCalling(watcher, now); }));
 }
 
-std::size_t WatchDuty::countActiveBelow(Milliseconds now) const
+std::size_t WatcherSelection::countActiveBelow(Milliseconds now) const
 {
     return static_cast<std::size_t>(std::count_if(this->known.begin(), this->known.end(),
         [&](const Watcher& watcher) { return watcher.rank < this->ownRank && this->isActive(watcher, now); }));
 }
 
-Milliseconds WatchDuty::volunteerDelay() const
+Milliseconds WatcherSelection::volunteerDelay() const
 {
     return this->options.volunteerSpread * unitIntervalOf(this->ownRank.hash);
 }
 
-Milliseconds WatchDuty::stalenessBound() const
+Milliseconds WatcherSelection::stalenessBound() const
 {
     return this->options.staleAfter + this->options.staleSpread * unitIntervalOf(this->ownRank.hash);
 }
 
-bool WatchDuty::isStale(Milliseconds confirmedAt, Milliseconds now) const
+bool WatcherSelection::isStale(Milliseconds confirmedAt, Milliseconds now) const
 {
     // Compares with a sum: the rounding of a difference could make this false at the time that nextChange() returned.
     return now >= confirmedAt + this->stalenessBound();
 }
 
-bool WatchDuty::shouldCallStore(bool isWatching, std::size_t instances, Milliseconds now)
+bool WatcherSelection::shouldCallStore(bool isWatching, std::size_t instances, Milliseconds now)
 {
     const Milliseconds until = this->othersUnansweredUntil(now);
     const bool isOneOfFew = isWatching && this->countCallingBelow(now) < this->options.wantedWatchers;
@@ -170,7 +170,7 @@
     return now < this->turnEnd;
 }
 
-bool WatchDuty::shouldWatch(bool isWatching, Milliseconds confirmedAt, std::size_t instances, Milliseconds now)
+bool WatcherSelection::shouldWatch(bool isWatching, Milliseconds confirmedAt, std::size_t instances, Milliseconds now)
 {
     std::erase_if(
         this->known, [&](const Watcher& watcher) { return now - watcher.lastNamedAt > this->options.expireAfter; });
@@ -186,7 +186,7 @@
     return isWatching ? this->countActiveBelow(now) < this->options.wantedWatchers : shouldVolunteer;
 }
 
-Milliseconds WatchDuty::nextChange(Milliseconds confirmedAt) const
+Milliseconds WatcherSelection::nextChange(Milliseconds confirmedAt) const
 {
     const Milliseconds staleAt = std::max(confirmedAt + this->stalenessBound(), this->deferredUntil);
     if (this->vacantSince == Never)
@@ -194,12 +194,12 @@
     return std::min(staleAt, this->vacantSince + this->volunteerDelay());
 }
 
-bool WatchDuty::leads(Milliseconds now) const
+bool WatcherSelection::isLeader(Milliseconds now) const
 {
     return !this->countActiveBelow(now);
 }
 
-std::optional<peers::Member> WatchDuty::firstBefore(bool isWatching, Milliseconds now) const
+std::optional<peers::Member> WatcherSelection::findHigherRankedWatcher(bool isWatching, Milliseconds now) const
 {
     const Watcher* first = nullptr;
     for (const Watcher& watcher : this->known) {
@@ -211,7 +211,7 @@
     return first ? std::optional(first->member) : std::nullopt;
 }
 
-std::vector<const WatchDuty::Watcher*> WatchDuty::ranked(Milliseconds now) const
+std::vector<const WatcherSelection::Watcher*> WatcherSelection::ranked(Milliseconds now) const
 {
     std::vector<const Watcher*> found;
     for (const Watcher& watcher : this->known) {
@@ -225,7 +225,7 @@
     return found;
 }
 
-std::vector<peers::Member> WatchDuty::watchers(Milliseconds now) const
+std::vector<peers::Member> WatcherSelection::watchers(Milliseconds now) const
 {
     std::vector<peers::Member> found;
     Rank last{ .invertedCapacity = ~0U, .hash = ~0ULL };
@@ -246,7 +246,7 @@
     return found;
 }
 
-std::vector<peers::Member> WatchDuty::heardWatchers(Milliseconds now) const
+std::vector<peers::Member> WatcherSelection::reportingWatchers(Milliseconds now) const
 {
     std::vector<peers::Member> found;
     for (const Watcher* watcher : this->ranked(now)) {
--- a/Source/Membership/WatchDuty.h
+++ b/Source/Membership/WatcherSelection.h
@@ -24,7 +24,7 @@
  * that receive those updates do not call the store too, or all of them would call it again and again. Each calls it
  * only in its turn, once a round, in case the store refuses just the watchers.
  */
-class WatchDuty {
+class WatcherSelection {
 public:
     struct Options {
         std::string ownName;
@@ -44,13 +44,13 @@
         double turnsPerSecond = 10;
     };
 
-    explicit WatchDuty(Options options);
+    explicit WatcherSelection(Options options);
 
     /** Records an update sent by a watcher, which had an answer of the store at confirmedAt. */
-    void heardWatcher(const peers::Member& watcher, Milliseconds confirmedAt, Milliseconds now);
+    void recordWatcherMessage(const peers::Member& watcher, Milliseconds confirmedAt, Milliseconds now);
     bool knows(const peers::Incarnation& watcher) const;
     /** Records a watcher that another instance named. */
-    void toldOfWatcher(const peers::Member& watcher, Milliseconds now);
+    void recordNamedWatcher(const peers::Member& watcher, Milliseconds now);
 
     /**
      * Whether this instance should watch. Its knowledge of the store was last confirmed as current at confirmedAt;
@@ -58,19 +58,19 @@
      */
     bool shouldWatch(bool isWatching, Milliseconds confirmedAt, std::size_t instances, Milliseconds now);
     /** Records that a call to the store failed, which ends the turn of this instance. */
-    void askedInVain() { this->turnEnd = LongAgo; }
+    void recordFailedCall() { this->turnEnd = LongAgo; }
     /** When the result of shouldWatch() may change even if no message arrives. */
     Milliseconds nextChange(Milliseconds confirmedAt) const;
     bool isStale(Milliseconds confirmedAt, Milliseconds now) const;
 
     /** True when no active watcher of a lower rank is known: the updates of this instance then contain the changes. */
-    bool leads(Milliseconds now) const;
+    bool isLeader(Milliseconds now) const;
     /**
      * The instance of the lowest rank among those that watch or call the store and recently sent an update themselves.
      * All instances that receive the same updates find the same one, whether or not the store answers. nullopt if there
      * is none, or if this instance is watching and has a lower rank.
      */
-    std::optional<peers::Member> firstBefore(bool isWatching, Milliseconds now) const;
+    std::optional<peers::Member> findHigherRankedWatcher(bool isWatching, Milliseconds now) const;
     /**
      * The instances to which this one sends hellos to get their updates: up to `wantedWatchers` active watchers, the
      * lowest ranks first, and up to `wantedWatchers` of the other known watchers. When there are enough active ones,
@@ -81,7 +81,7 @@
      * Up to `wantedWatchers` watchers that recently sent an update themselves, those with answers of the store first.
      * Only these are named to other instances; otherwise the name of a lost watcher would circulate for ever.
      */
-    std::vector<peers::Member> heardWatchers(Milliseconds now) const;
+    std::vector<peers::Member> reportingWatchers(Milliseconds now) const;
 
 private:
     /** The order in which instances are chosen as watchers, lowest first: by capacity, then by the hash of the name. */
--- a/Source/Node/Actions.h
+++ b/Source/Node/Actions.h
@@ -3,7 +3,7 @@
 #include "Admission/WaitingQueue.h"
 #include "Configuration/ChangeListener.h"
 #include "Configuration/RoutingConfiguration.h"
-#include "Measurement/ProbeDesk.h"
+#include "Measurement/ProbeManager.h"
 #include "Metrics/Reasons.h"
 #include "Node/ChangeSource.h"
 #include "Node/DecisionRecord.h"
@@ -34,7 +34,7 @@
     NetworkAddress address;
     Milliseconds timeLeft; // until the final answer is due
     bool mayRepeat = false; // the request may run more than once
-    bool isKeyKept = false; // the caller's key and claimed customer name are withheld from the server
+    bool withholdsKey = false; // the caller's key and claimed customer name are withheld from the server
     std::string customer; // name forwarded to the server; empty: the request belongs to no customer
 };
 
@@ -45,7 +45,7 @@
 };
 
 /** Forward the complete answer of this attempt to the caller. */
-struct PassAnswer {
+struct ForwardAnswer {
     RequestNumber request = 0;
     AttemptNumber attempt = 0;
 };
@@ -55,7 +55,7 @@
     RequestNumber request = 0;
     RefusedOutcome outcome = RefusedOutcome::NotRun;
     RefusalReason reason = RefusalReason::NoRoute;
-    Milliseconds comeBackAfter;
+    Milliseconds retryAfter;
 };
 
 /** Probe a backend server and report the result with ProbeEnded. */
@@ -94,7 +94,7 @@
 };
 
 /** Call the store and report the answer with StoreAnswered. */
-struct AskStore {
+struct CallStore {
     StoreRequest request;
 };
 
@@ -120,8 +120,8 @@
     v1::ShowInForceAnswer answer;
 };
 
-using Action = std::variant<SendAttempt, CancelAttempt, PassAnswer, RefuseRequest, SendProbe, StopSendingTo,
-    CheckServer, SetCallerLimits, SendToPeer, AskStore, TranslateItem, AnswerChange, AnswerInForce, DecisionRecord>;
+using Action = std::variant<SendAttempt, CancelAttempt, ForwardAnswer, RefuseRequest, SendProbe, StopSendingTo,
+    CheckServer, SetCallerLimits, SendToPeer, CallStore, TranslateItem, AnswerChange, AnswerInForce, DecisionRecord>;
 using Actions = std::vector<Action>;
 
 }
--- a/Source/Node/CrashMessages.h
+++ b/Source/Node/CrashMessages.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Crashes/RequestDigest.h"
-#include "Crashes/ServerEnd.h"
+#include "Crashes/ServerCrash.h"
 #include "peers.pb.h"
 
 #include <optional>
@@ -11,7 +11,7 @@
 /** A server crash during a request, as exchanged between instances. */
 struct CrashReport {
     RequestDigest digest;
-    ServerEnd end;
+    ServerCrash end;
 };
 
 /** An answer to a request suspected of crashing servers, as exchanged between instances. */
--- a/Source/Node/CrashRecorder.cpp
+++ b/Source/Node/CrashRecorder.cpp
@@ -23,7 +23,7 @@
 
 }
 
-std::optional<peers::CrashNews> readKeptCrashes(const std::string& value)
+std::optional<peers::CrashNews> readCrashRecord(const std::string& value)
 {
     peers::CrashNews crashes;
     google::protobuf::util::JsonParseOptions options;
@@ -32,7 +32,7 @@
     return status.ok() ? std::optional(std::move(crashes)) : std::nullopt;
 }
 
-std::string writeKeptCrashes(const peers::CrashNews& crashes)
+std::string writeCrashRecord(const peers::CrashNews& crashes)
 {
     std::string text;
     // Cannot fail: the message contains only scalar fields and lists of such messages.
@@ -48,15 +48,15 @@
 {
 }
 
-void CrashRecorder::changed(Milliseconds now)
+void CrashRecorder::scheduleCheck(Milliseconds now)
 {
     this->dueAt = std::min(this->dueAt, now + this->options.settleDelay);
 }
 
-std::optional<StoreRequest> CrashRecorder::next(
+std::optional<StoreRequest> CrashRecorder::nextWrite(
     const peers::CrashNews& kept, const StoreItem* stored, bool leads, Milliseconds now)
 {
-    const auto storedCrashes = stored ? readKeptCrashes(stored->value) : std::optional<peers::CrashNews>(std::in_place);
+    const auto storedCrashes = stored ? readCrashRecord(stored->value) : std::optional<peers::CrashNews>(std::in_place);
     if (storedCrashes && crashKeysOf(*storedCrashes) == crashKeysOf(kept)) {
         this->dueAt = Never;
         return std::nullopt;
@@ -68,7 +68,7 @@
     request.number = this->numbers->next();
     request.operation = StoreOperation::Write;
     request.key = CrashesKey;
-    request.value = writeKeptCrashes(kept);
+    request.value = writeCrashRecord(kept);
     request.expected = stored ? stored->revision : 0;
     request.timeout = this->options.answerTimeout;
     this->value = request.value;
@@ -86,7 +86,7 @@
         this->written
             = StoreItem{ .key = CrashesKey, .value = std::move(this->value), .revision = answer.at, .removed = false };
         // Check again: more crashes may have become known during the write.
-        this->changed(now);
+        this->scheduleCheck(now);
         return true;
     }
     // Before the next try, the watch delivers the current item: after a conflict another instance's, after a lost
--- a/Source/Node/CrashRecorder.h
+++ b/Source/Node/CrashRecorder.h
@@ -18,9 +18,9 @@
 inline constexpr const char* CrashesKey = "burlreach/crashing-requests";
 
 /** Encodes as protobuf JSON, because the wire format of burlreach's own store is JSON and cannot hold binary values. */
-std::string writeKeptCrashes(const peers::CrashNews& crashes);
+std::string writeCrashRecord(const peers::CrashNews& crashes);
 /** Empty when the value is not a valid record. */
-std::optional<peers::CrashNews> readKeptCrashes(const std::string& value);
+std::optional<peers::CrashNews> readCrashRecord(const std::string& value);
 
 /**
  * Keeps the store's record of requests that crash servers up to date.
@@ -40,10 +40,10 @@
     CrashRecorder(Options options, StoreCallNumbers& numbers, Random& random);
 
     /** Schedules a check, because the known crashes may now differ from the stored record. */
-    void changed(Milliseconds now);
+    void scheduleCheck(Milliseconds now);
     bool isDue(Milliseconds now) const { return !this->pending && now >= this->dueAt; }
     /** The write to send, if one is needed. stored is this instance's copy of the stored item, or null. */
-    std::optional<StoreRequest> next(
+    std::optional<StoreRequest> nextWrite(
         const peers::CrashNews& kept, const StoreItem* stored, bool leads, Milliseconds now);
     /** True when the answer belongs to a call of this object. */
     bool answered(const StoreAnswer& answer, Milliseconds now);
--- a/Source/Node/CrashingRequests.cpp
+++ b/Source/Node/CrashingRequestDetector.cpp
@@ -1,4 +1,4 @@
-#include "Node/CrashingRequests.h"
+#include "Node/CrashingRequestDetector.h"
 
 #include <algorithm>
 #include <utility>
@@ -20,7 +20,7 @@
 
 }
 
-CrashingRequests::CrashingRequests(Options givenOptions, DecisionCounters& givenCounters)
+CrashingRequestDetector::CrashingRequestDetector(Options givenOptions, DecisionCounters& givenCounters)
     : options(std::move(givenOptions))
     , counters(&givenCounters)
     , table(this->options.table)
@@ -28,35 +28,36 @@
 {
 }
 
-CallersRequest CrashingRequests::keyOf(const RequestState& request)
+CallerRequest CrashingRequestDetector::keyOf(const RequestState& request)
 {
     return { .digest = request.digest,
-        .caller = callerNumber(request.caller),
+        .caller = callerHash(request.caller),
         .hasOneAddress = request.service && request.service->pool.servers().size() <= 1 };
 }
 
-bool CrashingRequests::isRefused(const RequestState& request, Milliseconds now) const
+bool CrashingRequestDetector::isRefused(const RequestState& request, Milliseconds now) const
 {
     return this->table.size() && this->table.isRefused(keyOf(request), now);
 }
 
-Milliseconds CrashingRequests::refusedFor(const RequestState& request, Milliseconds now) const
+Milliseconds CrashingRequestDetector::refusedFor(const RequestState& request, Milliseconds now) const
 {
     return std::max(Milliseconds{}, this->table.refusedUntil(request.digest) - now);
 }
 
-bool CrashingRequests::mayBeCrashing(const RequestState& request) const
+bool CrashingRequestDetector::mayBeCrashing(const RequestState& request) const
 {
-    return this->table.countedEnds(keyOf(request)) + this->broken.of(request.digest) >= CrashTable::ServersThatProve;
+    return this->table.countedEnds(keyOf(request)) + this->broken.countOf(request.digest)
+        >= CrashTable::CrashesToConfirm;
 }
 
-void CrashingRequests::sent(const RequestState& request, Milliseconds now)
+void CrashingRequestDetector::sent(const RequestState& request, Milliseconds now)
 {
     if (this->table.size())
         this->table.tried(request.digest, now);
 }
 
-void CrashingRequests::connectionBroke(
+void CrashingRequestDetector::connectionBroke(
     const RequestState& request, const BackendServerState& server, Milliseconds now, Actions& actions)
 {
     // A draining or leaving server ends as planned.
@@ -74,98 +75,98 @@
         actions.emplace_back(CheckServer{ .backendServer = attempt.backendServer, .address = attempt.address });
 }
 
-void CrashingRequests::answered(const RequestState& request, Milliseconds now, Actions& actions)
+void CrashingRequestDetector::answered(const RequestState& request, Milliseconds now, Actions& actions)
 {
     if (!this->isSuspect(request))
         return;
-    const bool isWidelyKnown = this->table.countedEnds(request.digest) >= CrashesToForward;
-    if (!this->table.answered(request.digest, callerNumber(request.caller), now, now))
+    const bool isWidelyKnown = this->table.countedCrashes(request.digest) >= CrashesToForward;
+    if (!this->table.answered(request.digest, callerHash(request.caller), now, now))
         return;
     this->counters->add(DecisionCount::CrashesDisproved);
-    this->ownAnswers.push_back({ .digest = request.digest, .caller = callerNumber(request.caller), .at = now });
+    this->ownAnswers.push_back({ .digest = request.digest, .caller = callerHash(request.caller), .at = now });
     this->handleCleared(request.digest, SeenHere, actions);
     if (isWidelyKnown)
         this->scheduleReport(now);
 }
 
-void CrashingRequests::handleCleared(const RequestDigest& digest, std::string_view heardFrom, Actions& actions)
+void CrashingRequestDetector::handleCleared(const RequestDigest& digest, std::string_view heardFrom, Actions& actions)
 {
     this->hasChanged = true;
-    actions.emplace_back(beliefOf("crash_suspicion_ended", digest.text()).with("heard_from", heardFrom));
+    actions.emplace_back(knowledgeRecord("crash_suspicion_ended", digest.text()).with("heard_from", heardFrom));
 }
 
-void CrashingRequests::checked(const ServerChecked& event, Milliseconds now, Actions& actions)
+void CrashingRequestDetector::handleServerCheck(const ServerChecked& event, Milliseconds now, Actions& actions)
 {
     switch (event.result) {
-    case ServerCheck::NobodyListens:
+    case ServerCheck::ConnectionRefused:
         return this->handleServerCrash(event.backendServer, now, actions);
-    case ServerCheck::CameUp:
-        return this->broken.cameUp(event.backendServer, now);
+    case ServerCheck::Connected:
+        return this->broken.connectionEstablished(event.backendServer, now);
     case ServerCheck::NoAnswer:
         // A network failure breaks connections as well, so nothing is known about the process.
         return this->broken.forget(event.backendServer);
     }
 }
 
-void CrashingRequests::replaced(const std::string& backendServer, Milliseconds now, Actions& actions)
+void CrashingRequestDetector::handleServerReplaced(const std::string& backendServer, Milliseconds now, Actions& actions)
 {
     this->handleServerCrash(backendServer, now, actions);
 }
 
-void CrashingRequests::handleServerCrash(const std::string& backendServer, Milliseconds now, Actions& actions)
+void CrashingRequestDetector::handleServerCrash(const std::string& backendServer, Milliseconds now, Actions& actions)
 {
-    for (const BrokenAttempt& attempt : this->broken.ended(backendServer)) {
-        const std::uint64_t server = serverNumber(attempt.backendServer, attempt.life);
-        const ServerEnd end{ .server = server,
+    for (const BrokenAttempt& attempt : this->broken.takeCrashed(backendServer)) {
+        const std::uint64_t server = serverHash(attempt.backendServer, attempt.life);
+        const ServerCrash end{ .server = server,
             .ordinal = this->table.nextOrdinal(attempt.digest, server, attempt.brokeAt),
             .address = attempt.address,
-            .caller = callerNumber(attempt.caller),
+            .caller = callerHash(attempt.caller),
             .at = attempt.brokeAt };
         const bool wasCrashing = this->table.isCrashing(attempt.digest);
         if (!this->table.add(attempt.digest, end, now))
             continue;
         this->counters->add(DecisionCount::ServerEndsSeen);
         this->ownCrashes.push_back({ .digest = attempt.digest, .end = end });
-        actions.emplace_back(beliefOf("server_ended_under_request", attempt.digest.text())
+        actions.emplace_back(knowledgeRecord("server_ended_under_request", attempt.digest.text())
                                  .with("server", attempt.backendServer)
                                  .with("route", attempt.route)
                                  .with("path", attempt.path)
                                  .with("caller", attempt.caller)
-                                 .with("ends", std::uint64_t{ this->table.ends(attempt.digest).size() })
-                                 .with("counted", std::uint64_t{ this->table.countedEnds(attempt.digest) }));
+                                 .with("ends", std::uint64_t{ this->table.crashes(attempt.digest).size() })
+                                 .with("counted", std::uint64_t{ this->table.countedCrashes(attempt.digest) }));
         this->handleNewCrash(attempt.digest, wasCrashing, SeenHere, actions);
         this->scheduleReport(now);
     }
 }
 
-void CrashingRequests::handleNewCrash(
+void CrashingRequestDetector::handleNewCrash(
     const RequestDigest& digest, bool wasCrashing, std::string_view heardFrom, Actions& actions)
 {
-    this->hasChanged = this->hasChanged || this->table.countedEnds(digest) >= CrashesToForward;
+    this->hasChanged = this->hasChanged || this->table.countedCrashes(digest) >= CrashesToForward;
     if (wasCrashing || !this->table.isCrashing(digest))
         return;
     this->counters->add(DecisionCount::RequestsFoundCrashing);
-    actions.emplace_back(beliefOf("request_crashes_servers", digest.text())
-                             .with("ends", std::uint64_t{ this->table.ends(digest).size() })
+    actions.emplace_back(knowledgeRecord("request_crashes_servers", digest.text())
+                             .with("ends", std::uint64_t{ this->table.crashes(digest).size() })
                              .with("heard_from", heardFrom));
 }
 
-void CrashingRequests::scheduleReport(Milliseconds now)
+void CrashingRequestDetector::scheduleReport(Milliseconds now)
 {
     this->reportAt = std::min(this->reportAt, std::max(now, this->lastReportAt + this->options.minReportInterval));
 }
 
-void CrashingRequests::told(Milliseconds now)
+void CrashingRequestDetector::reportSent(Milliseconds now)
 {
     this->lastReportAt = now;
     this->reportAt = Never;
 }
 
-std::vector<CrashReport> CrashingRequests::crashesSince(Milliseconds from) const
+std::vector<CrashReport> CrashingRequestDetector::crashesSince(Milliseconds from) const
 {
     std::vector<CrashReport> found;
-    for (const RequestDigest& digest : this->table.withCountedEnds(0)) {
-        for (const ServerEnd& end : this->table.ends(digest)) {
+    for (const RequestDigest& digest : this->table.digestsWithCountedCrashes(0)) {
+        for (const ServerCrash& end : this->table.crashes(digest)) {
             if (end.at > from)
                 found.push_back({ .digest = digest, .end = end });
         }
@@ -173,12 +174,12 @@
     return found;
 }
 
-void CrashingRequests::write(std::vector<CrashReport> ends, std::span<const CrashTable::Answer> answers,
+void CrashingRequestDetector::write(std::vector<CrashReport> ends, std::span<const CrashTable::Answer> answers,
     Milliseconds now, peers::CrashNews& message) const
 {
     // If the message cannot hold all, the requests closest to being refused go first.
     std::stable_sort(ends.begin(), ends.end(), [this](const CrashReport& left, const CrashReport& right) {
-        return this->table.countedEnds(left.digest) > this->table.countedEnds(right.digest);
+        return this->table.countedCrashes(left.digest) > this->table.countedCrashes(right.digest);
     });
     ends.resize(std::min(ends.size(), this->options.maxCrashesPerMessage));
     for (const CrashReport& item : ends)
@@ -188,19 +189,20 @@
             AnswerReport{ .digest = item.digest, .caller = item.caller, .at = item.at }, now, *message.add_answers());
 }
 
-void CrashingRequests::fillWithOwn(peers::CrashNews& message, Milliseconds now)
+void CrashingRequestDetector::appendOwnReports(peers::CrashNews& message, Milliseconds now)
 {
     this->dropExpiredReports(now);
     this->write(this->ownCrashes, this->ownAnswers, now, message);
 }
 
-void CrashingRequests::fillWithAll(peers::CrashNews& message, Milliseconds now) const
+void CrashingRequestDetector::appendAllReports(peers::CrashNews& message, Milliseconds now) const
 {
     const Milliseconds from = now - this->options.reportFor;
     this->write(this->crashesSince(from), this->table.answersSince(from), now, message);
 }
 
-void CrashingRequests::receive(const peers::CrashNews& message, bool passesOn, Milliseconds now, Actions& actions)
+void CrashingRequestDetector::receive(
+    const peers::CrashNews& message, bool passesOn, Milliseconds now, Actions& actions)
 {
     for (const peers::RequestAnswered& item : message.answers()) {
         const auto report = read(item, now);
@@ -215,22 +217,22 @@
         if (!this->table.add(report->digest, report->end, now))
             continue;
         this->handleNewCrash(report->digest, wasCrashing, ReportedByPeers, actions);
-        if (passesOn && this->table.countedEnds(report->digest) >= CrashesToForward)
+        if (passesOn && this->table.countedCrashes(report->digest) >= CrashesToForward)
             this->scheduleReport(now);
     }
 }
 
-peers::CrashNews CrashingRequests::kept(Milliseconds now) const
+peers::CrashNews CrashingRequestDetector::makeStoreRecord(Milliseconds now) const
 {
-    std::vector<RequestDigest> digests = this->table.withCountedEnds(CrashesToForward);
+    std::vector<RequestDigest> digests = this->table.digestsWithCountedCrashes(CrashesToForward);
     std::stable_sort(digests.begin(), digests.end(), [this](const RequestDigest& left, const RequestDigest& right) {
-        return this->table.countedEnds(left) > this->table.countedEnds(right);
+        return this->table.countedCrashes(left) > this->table.countedCrashes(right);
     });
     digests.resize(std::min(digests.size(), this->options.maxStoredRequests));
     peers::CrashNews message;
     for (const RequestDigest& digest : digests) {
-        const auto ends = this->table.ends(digest);
-        for (const ServerEnd& end : ends.first(std::min(ends.size(), MaxStoredCrashesPerRequest)))
+        const auto ends = this->table.crashes(digest);
+        for (const ServerCrash& end : ends.first(std::min(ends.size(), MaxStoredCrashesPerRequest)))
             burlreach::write(CrashReport{ .digest = digest, .end = end }, now, *message.add_ends());
         // Without the answer, a reader would take crashes from several callers as proof against all callers.
         if (this->table.answeredAt(digest) != LongAgo)
@@ -240,7 +242,7 @@
     return message;
 }
 
-void CrashingRequests::takeKept(const peers::CrashNews& message, Milliseconds now, Actions& actions)
+void CrashingRequestDetector::mergeStoreRecord(const peers::CrashNews& message, Milliseconds now, Actions& actions)
 {
     this->hasChanged = true;
     for (const peers::ServerEnd& item : message.ends()) {
@@ -248,7 +250,7 @@
         if (!report)
             continue;
         const bool wasCrashing = this->table.isCrashing(report->digest);
-        if (this->table.addKept(report->digest, report->end, now))
+        if (this->table.addStored(report->digest, report->end, now))
             this->handleNewCrash(report->digest, wasCrashing, ReadFromStore, actions);
     }
     for (const peers::RequestAnswered& item : message.answers()) {
@@ -257,26 +259,26 @@
     }
 }
 
-bool CrashingRequests::takeChanged()
+bool CrashingRequestDetector::takeStoreRecordChanged()
 {
     return std::exchange(this->hasChanged, false);
 }
 
-void CrashingRequests::lookAgain(Milliseconds now, Actions& actions)
+void CrashingRequestDetector::startSecondChecks(Milliseconds now, Actions& actions)
 {
-    for (ServerToCheck& server : this->broken.takeDue(now))
+    for (ServerToCheck& server : this->broken.takeDueChecks(now))
         actions.emplace_back(
             CheckServer{ .backendServer = std::move(server.backendServer), .address = std::move(server.address) });
 }
 
-void CrashingRequests::dropExpiredReports(Milliseconds now)
+void CrashingRequestDetector::dropExpiredReports(Milliseconds now)
 {
     const Milliseconds from = now - this->options.reportFor;
     std::erase_if(this->ownCrashes, [from](const CrashReport& item) { return item.end.at <= from; });
     std::erase_if(this->ownAnswers, [from](const CrashTable::Answer& item) { return item.at <= from; });
 }
 
-void CrashingRequests::tick(Milliseconds now)
+void CrashingRequestDetector::tick(Milliseconds now)
 {
     // A single instance sends no reports, so fillWithOwn() does not drop old entries there.
     this->dropExpiredReports(now);
@@ -285,16 +287,16 @@
     this->hasChanged = this->hasChanged || this->table.size() != before;
 }
 
-v1::ShowCrashingRequestsAnswer CrashingRequests::show(Milliseconds now) const
+v1::ShowCrashingRequestsAnswer CrashingRequestDetector::show(Milliseconds now) const
 {
     v1::ShowCrashingRequestsAnswer answer;
-    for (const RequestDigest& digest : this->table.withCountedEnds(0)) {
+    for (const RequestDigest& digest : this->table.digestsWithCountedCrashes(0)) {
         v1::SuspectedRequest* request = answer.add_requests();
         request->set_digest(digest.text());
-        const auto ends = this->table.ends(digest);
+        const auto ends = this->table.crashes(digest);
         request->set_ends(static_cast<std::uint32_t>(ends.size()));
-        request->set_counted_ends(static_cast<std::uint32_t>(this->table.countedEnds(digest)));
-        for (const ServerEnd& end : ends)
+        request->set_counted_ends(static_cast<std::uint32_t>(this->table.countedCrashes(digest)));
+        for (const ServerCrash& end : ends)
             request->add_addresses(end.address.text());
         request->set_refused(this->table.isCrashing(digest) && now < this->table.refusedUntil(digest));
         if (request->refused())
--- a/Source/Node/CrashingRequests.h
+++ b/Source/Node/CrashingRequestDetector.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Crashes/BrokenAttempts.h"
+#include "Crashes/BrokenAttemptTracker.h"
 #include "Crashes/CrashTable.h"
 #include "Metrics/DecisionCounters.h"
 #include "Node/Actions.h"
@@ -35,7 +35,7 @@
  * crashed the seven servers of its service 47 times in 20 s; with it, fleets of
  * 3 to 473 instances lose three to eight servers.
  */
-class CrashingRequests {
+class CrashingRequestDetector {
 public:
     struct Options {
         CrashTable::Options table;
@@ -46,14 +46,14 @@
         std::size_t maxStoredRequests = 64; // about 32 KB in the store with 8 crashes of each request
     };
 
-    CrashingRequests(Options options, DecisionCounters& counters);
+    CrashingRequestDetector(Options options, DecisionCounters& counters);
 
     /** True when the request must not be sent to any server now. */
     bool isRefused(const RequestState& request, Milliseconds now) const;
     /** The time from now until the request may be sent again. */
     Milliseconds refusedFor(const RequestState& request, Milliseconds now) const;
     /** True when a server crashed during this request; such a request is not hedged. */
-    bool isSuspect(const RequestState& request) const { return !this->table.ends(request.digest).empty(); }
+    bool isSuspect(const RequestState& request) const { return !this->table.crashes(request.digest).empty(); }
     /**
      * True when the known crashes, together with broken connections whose servers are still being checked, may be
      * enough to refuse the request; a retry could then crash one server more than needed.
@@ -66,40 +66,40 @@
         const RequestState& request, const BackendServerState& server, Milliseconds now, Actions& actions);
     /** A server answered the request completely. */
     void answered(const RequestState& request, Milliseconds now, Actions& actions);
-    void checked(const ServerChecked& event, Milliseconds now, Actions& actions);
+    void handleServerCheck(const ServerChecked& event, Milliseconds now, Actions& actions);
     /** The server has a new life, or its record was removed: the earlier process has ended. */
-    void replaced(const std::string& backendServer, Milliseconds now, Actions& actions);
+    void handleServerReplaced(const std::string& backendServer, Milliseconds now, Actions& actions);
 
     /** Recent crashes seen by this instance, for watchers, which forward them. */
-    void fillWithOwn(peers::CrashNews& message, Milliseconds now);
+    void appendOwnReports(peers::CrashNews& message, Milliseconds now);
     /** Recent crashes seen here or reported by others, for all instances. */
-    void fillWithAll(peers::CrashNews& message, Milliseconds now) const;
+    void appendAllReports(peers::CrashNews& message, Milliseconds now) const;
     /**
      * Merges a report from another instance. With passesOn the sender has not informed the whole fleet, so requests
      * with two or more counted crashes are forwarded at once.
      */
     void receive(const peers::CrashNews& message, bool passesOn, Milliseconds now, Actions& actions);
     /** The record to keep in the store. */
-    peers::CrashNews kept(Milliseconds now) const;
-    void takeKept(const peers::CrashNews& message, Milliseconds now, Actions& actions);
+    peers::CrashNews makeStoreRecord(Milliseconds now) const;
+    void mergeStoreRecord(const peers::CrashNews& message, Milliseconds now, Actions& actions);
     /** True once after the record to keep in the store may have changed. */
-    bool takeChanged();
+    bool takeStoreRecordChanged();
     /** Starts the second check of servers whose first check succeeded; their processes may still be ending. */
-    void lookAgain(Milliseconds now, Actions& actions);
+    void startSecondChecks(Milliseconds now, Actions& actions);
     /** Drops expired crashes and answers. */
     void tick(Milliseconds now);
 
     /** When to send a report to other instances; Never when none is urgent. */
-    Milliseconds nextTelling() const { return this->reportAt; }
+    Milliseconds nextReportAt() const { return this->reportAt; }
     /** When a report or a second check is due. */
-    Milliseconds nextDue() const { return std::min(this->reportAt, this->broken.nextLook()); }
-    void told(Milliseconds now);
+    Milliseconds nextDue() const { return std::min(this->reportAt, this->broken.nextCheck()); }
+    void reportSent(Milliseconds now);
 
     v1::ShowCrashingRequestsAnswer show(Milliseconds now) const;
     std::size_t size() const { return this->table.size(); }
 
 private:
-    static CallersRequest keyOf(const RequestState& request);
+    static CallerRequest keyOf(const RequestState& request);
     void handleServerCrash(const std::string& backendServer, Milliseconds now, Actions& actions);
     /** Handles a crash that was not known before; logs when it makes the request count as crashing. */
     void handleNewCrash(const RequestDigest& digest, bool wasCrashing, std::string_view heardFrom, Actions& actions);
@@ -114,7 +114,7 @@
     Options options;
     DecisionCounters* counters;
     CrashTable table;
-    BrokenAttempts broken;
+    BrokenAttemptTracker broken;
     std::vector<CrashReport> ownCrashes; // seen by this instance and still reported
     std::vector<CrashTable::Answer> ownAnswers;
     bool hasChanged = false;
--- a/Source/Node/CustomerGate.cpp
+++ b/Source/Node/CustomerAuthenticator.cpp
@@ -1,15 +1,16 @@
-#include "Node/CustomerGate.h"
+#include "Node/CustomerAuthenticator.h"
 
 namespace burlreach {
 
-CallerIdentity CustomerGate::identify(const CustomerTable& customers, const Route& route, const Credential& credential)
+CallerIdentity CustomerAuthenticator::identify(
+    const CustomerTable& customers, const Route& route, const Credential& credential)
 {
     CallerIdentity identity;
     identity.isKeyKept = customers.hasCustomers();
     if (!customers.hasCustomers())
         return identity;
     const bool hasKey = credential.kind == Credential::Kind::Key;
-    if (const Customer* customer = hasKey ? customers.holderOf(credential.key) : nullptr) {
+    if (const Customer* customer = hasKey ? customers.findByKey(credential.key) : nullptr) {
         identity.customer = customer->name;
         identity.rank = customer->rank;
     } else if (!route.isPublic)
--- a/Source/Node/CustomerGate.h
+++ b/Source/Node/CustomerAuthenticator.h
@@ -21,7 +21,7 @@
 };
 
 /** Identifies the customer of a request by its key. */
-class CustomerGate {
+class CustomerAuthenticator {
 public:
     /** If any customers are configured, a request needs a valid key unless its route is public. */
     static CallerIdentity identify(const CustomerTable& customers, const Route& route, const Credential& credential);
--- a/Source/Node/DecisionRecord.cpp
+++ b/Source/Node/DecisionRecord.cpp
@@ -6,9 +6,9 @@
 
 namespace burlreach {
 
-DecisionRecord beliefOf(std::string_view event, std::string subject)
+DecisionRecord knowledgeRecord(std::string_view event, std::string subject)
 {
-    return { .topic = RecordTopic::Belief, .event = event, .subject = std::move(subject), .fields = {} };
+    return { .topic = RecordTopic::Knowledge, .event = event, .subject = std::move(subject), .fields = {} };
 }
 
 DecisionRecord& DecisionRecord::with(std::string_view name, std::string value)
--- a/Source/Node/DecisionRecord.h
+++ b/Source/Node/DecisionRecord.h
@@ -10,7 +10,7 @@
 enum class RecordTopic {
     Request, // a decision on one request
     Refusal, // a request that no backend server answered, or a retry
-    Belief // the state known to this instance has changed
+    Knowledge // the state known to this instance has changed
 };
 
 /** A named input or outcome. */
@@ -22,7 +22,7 @@
 
 /** A log record of one decision and its inputs. */
 struct DecisionRecord {
-    RecordTopic topic = RecordTopic::Belief;
+    RecordTopic topic = RecordTopic::Knowledge;
     std::string_view event; // of static storage, such as "attempt_sent"
     std::string subject; // id of the request, backend server or instance
     std::vector<RecordField> fields;
@@ -36,6 +36,6 @@
 };
 
 /** A record of a change in the state known to this instance; the subject names what changed. */
-DecisionRecord beliefOf(std::string_view event, std::string subject);
+DecisionRecord knowledgeRecord(std::string_view event, std::string subject);
 
 }
--- a/Source/Node/Events.h
+++ b/Source/Node/Events.h
@@ -5,7 +5,7 @@
 #include "Configuration/ChangeListener.h"
 #include "Crashes/RequestDigest.h"
 #include "Customers/Credential.h"
-#include "Measurement/ProbeDesk.h"
+#include "Measurement/ProbeManager.h"
 #include "Metrics/Reasons.h"
 #include "Routing/AttemptResult.h"
 #include "Routing/ServerNotice.h"
@@ -80,8 +80,8 @@
 
 /** The result of opening a new connection to a backend server. */
 enum class ServerCheck {
-    NobodyListens, // connection refused: the process has ended
-    CameUp, // connected
+    ConnectionRefused, // connection refused: the process has ended
+    Connected, // connected
     NoAnswer // the backend server or the network may be down
 };
 
--- a/Source/Node/NewsExchange.cpp
+++ b/Source/Node/GossipExchange.cpp
@@ -1,4 +1,4 @@
-#include "Node/NewsExchange.h"
+#include "Node/GossipExchange.h"
 
 #include "Node/NewsRecords.h"
 #include "Node/PeerEnvelope.h"
@@ -52,9 +52,9 @@
 
 }
 
-NewsExchange::NewsExchange(Options givenOptions, Parts givenParts)
+GossipExchange::GossipExchange(Options givenOptions, Dependencies givenParts)
     : options(std::move(givenOptions))
-    , parts(givenParts)
+    , dependencies(givenParts)
     , members(this->options.members)
     , contacts({ .own = addressOf(this->options.self) })
     , duty(this->options.duty)
@@ -63,7 +63,7 @@
     this->setSeeds(this->options.seeds);
 }
 
-void NewsExchange::setSeeds(std::vector<NetworkAddress> seeds)
+void GossipExchange::setSeeds(std::vector<NetworkAddress> seeds)
 {
     const NetworkAddress own = addressOf(this->options.self);
     std::erase(seeds, own);
@@ -71,12 +71,12 @@
     this->nextSeeds = LongAgo;
 }
 
-void NewsExchange::send(const NetworkAddress& address, peers::PeerMessage message, Actions& actions) const
+void GossipExchange::send(const NetworkAddress& address, peers::PeerMessage message, Actions& actions) const
 {
-    actions.emplace_back(addressedTo(address, this->options.self.incarnation(), std::move(message)));
+    actions.emplace_back(makeSendToPeer(address, this->options.self.incarnation(), std::move(message)));
 }
 
-void NewsExchange::answer(const peers::Incarnation& asker, const peers::PeerMessage& message, Actions& actions) const
+void GossipExchange::answer(const peers::Incarnation& asker, const peers::PeerMessage& message, Actions& actions) const
 {
     for (const KnownMember& known : this->members.members()) {
         if (known.member.incarnation().name() == asker.name())
@@ -84,32 +84,33 @@
     }
 }
 
-void NewsExchange::receive(const peers::PeerMessage& message, Milliseconds now, Actions& actions)
+void GossipExchange::receive(const peers::PeerMessage& message, Milliseconds now, Actions& actions)
 {
     if (message.version() != PeerProtocolVersion) {
-        this->parts.counters->add(DecisionCount::PeerMessagesRefused);
+        this->dependencies.counters->add(DecisionCount::PeerMessagesRefused);
         return;
     }
     switch (message.body_case()) {
     case peers::PeerMessage::kHello:
         this->handleHello(message.hello(), now, actions);
-        this->parts.crashes->receive(message.hello().crashes(), this->parts.store->isWatching(), now, actions);
-        this->parts.signs->receive(message.hello().leaving_signs(), now);
-        this->parts.limits->receive(message.hello().limits(), false, now, actions);
-        this->parts.rollouts->receive(message.from(), message.hello().rollouts(), now);
+        this->dependencies.crashes->receive(
+            message.hello().crashes(), this->dependencies.store->isWatching(), now, actions);
+        this->dependencies.signs->receive(message.hello().leaving_signs(), now);
+        this->dependencies.limits->receive(message.hello().limits(), false, now, actions);
+        this->dependencies.rollouts->receive(message.from(), message.hello().rollouts(), now);
         break;
     case peers::PeerMessage::kNews:
         this->handleNews(message, now, actions);
         // The watcher sent this to all instances, so it need not be passed on.
-        this->parts.crashes->receive(message.news().crashes(), false, now, actions);
-        this->parts.signs->receive(message.news().leaving_signs(), now);
-        this->parts.limits->receive(message.news().limits(), true, now, actions);
+        this->dependencies.crashes->receive(message.news().crashes(), false, now, actions);
+        this->dependencies.signs->receive(message.news().leaving_signs(), now);
+        this->dependencies.limits->receive(message.news().limits(), true, now, actions);
         break;
     case peers::PeerMessage::kPull: {
         peers::PeerMessage answer;
-        *answer.mutable_push() = this->parts.store->pushFor(message.pull());
+        *answer.mutable_push() = this->dependencies.store->pushFor(message.pull());
         this->answer(message.from(), answer, actions);
-        actions.emplace_back(pushRecord("changes_sent", message.from(), answer.push(), *this->parts.store));
+        actions.emplace_back(pushRecord("changes_sent", message.from(), answer.push(), *this->dependencies.store));
         break;
     }
     case peers::PeerMessage::kPush:
@@ -128,42 +129,42 @@
         this->handleMembersPush(message.members_push(), now, actions);
         break;
     default: // empty, or a kind that other classes handle
-        this->parts.counters->add(DecisionCount::PeerMessagesRefused);
+        this->dependencies.counters->add(DecisionCount::PeerMessagesRefused);
         break;
     }
 }
 
-void NewsExchange::handleHello(const peers::Hello& hello, Milliseconds now, Actions& actions)
+void GossipExchange::handleHello(const peers::Hello& hello, Milliseconds now, Actions& actions)
 {
     const peers::Member& member = hello.member();
     const std::string& name = member.incarnation().name();
     if (name.empty() || name == this->options.self.incarnation().name())
         return;
-    const bool isNew = this->members.heard(member, hello.store_revision(), now);
+    const bool isNew = this->members.update(member, hello.store_revision(), now);
     const bool knowsNothing = !hello.store_revision();
-    const StoreRevision own = this->parts.store->view().revision();
+    const StoreRevision own = this->dependencies.store->view().revision();
     if (isNew && knowsNothing && own)
         this->sendViewAt = std::min(this->sendViewAt, now + this->options.newInstanceInterval);
     if (!knowsNothing && !own) {
         constexpr bool canTell = true;
-        this->pulls.behind(member, hello.store_revision(), canTell, now);
+        this->pulls.recordMissingChanges(member, hello.store_revision(), canTell, now);
         this->pull(now, actions);
     }
-    if (this->parts.store->isWatching()) {
+    if (this->dependencies.store->isWatching()) {
         if (isNew)
             this->send(addressOf(member), this->makeNews(hello.store_revision(), now), actions);
         return;
     }
     peers::PeerMessage told;
-    for (const peers::Member& watcher : this->duty.heardWatchers(now))
+    for (const peers::Member& watcher : this->duty.reportingWatchers(now))
         *told.mutable_watchers()->add_watchers() = watcher;
     if (told.has_watchers())
         this->send(addressOf(member), std::move(told), actions);
 }
 
-void NewsExchange::announceFirstView(Milliseconds now, Actions& actions)
+void GossipExchange::announceFirstView(Milliseconds now, Actions& actions)
 {
-    if (this->hasAnnouncedView || !this->parts.store->view().revision())
+    if (this->hasAnnouncedView || !this->dependencies.store->view().revision())
         return;
     this->hasAnnouncedView = true;
     // Other new instances know the seeds too, and can learn from them who has a view.
@@ -171,7 +172,7 @@
     this->sendViewToNewInstances(now, actions);
 }
 
-void NewsExchange::sendViewToNewInstances(Milliseconds now, Actions& actions)
+void GossipExchange::sendViewToNewInstances(Milliseconds now, Actions& actions)
 {
     this->sendViewAt = Never;
     std::vector<KnownMember> newInstances;
@@ -182,37 +183,37 @@
     if (newInstances.empty())
         return;
     peers::PeerMessage message;
-    *message.mutable_push() = this->parts.store->fullPush();
+    *message.mutable_push() = this->dependencies.store->fullPush();
     message.mutable_push()->set_is_unasked(true);
     actions.emplace_back(
-        pushRecord("everything_told", this->options.self.incarnation(), message.push(), *this->parts.store)
+        pushRecord("everything_told", this->options.self.incarnation(), message.push(), *this->dependencies.store)
             .with("instances", std::uint64_t{ newInstances.size() }));
-    this->sendToBranches(firstBranches(newInstances, this->options.tree, now), std::move(message), actions);
-    this->members.allWereTold(this->parts.store->view().revision());
+    this->sendToBranches(rootBranches(newInstances, this->options.tree, now), std::move(message), actions);
+    this->members.recordSentThrough(this->dependencies.store->view().revision());
 }
 
-void NewsExchange::handleWatchers(const peers::Watchers& message, Milliseconds now, Actions& actions)
+void GossipExchange::handleWatchers(const peers::Watchers& message, Milliseconds now, Actions& actions)
 {
     const bool wasSearching = this->duty.watchers(now).empty();
     for (const peers::Member& watcher : message.watchers())
-        this->duty.toldOfWatcher(watcher, now);
+        this->duty.recordNamedWatcher(watcher, now);
     if (wasSearching && !this->duty.watchers(now).empty())
         this->sendHellos(now, actions);
 }
 
-void NewsExchange::handleMembersPush(const peers::MembersPush& message, Milliseconds now, Actions& actions)
+void GossipExchange::handleMembersPush(const peers::MembersPush& message, Milliseconds now, Actions& actions)
 {
     for (const peers::KnownMember& known : message.members()) {
         const bool isSelf = known.member().incarnation().name() == this->options.self.incarnation().name();
         const Milliseconds age{ static_cast<double>(known.age_milliseconds()) };
         if (!isSelf)
-            this->members.heard(known.member(), known.store_revision(), now - age);
+            this->members.update(known.member(), known.store_revision(), now - age);
     }
     if (!this->inForceCalls.empty())
         this->answerInForce(message, now, actions);
 }
 
-bool NewsExchange::isNewer(const peers::News& news, Milliseconds now)
+bool GossipExchange::isNewer(const peers::News& news, Milliseconds now)
 {
     LastNews& last = this->lastNews[news.origin().incarnation().name()];
     const std::uint64_t life = news.origin().incarnation().number();
@@ -225,23 +226,23 @@
     return true;
 }
 
-void NewsExchange::handlePush(const peers::PeerMessage& message, Milliseconds now, Actions& actions)
+void GossipExchange::handlePush(const peers::PeerMessage& message, Milliseconds now, Actions& actions)
 {
     const peers::Push& push = message.push();
     this->relay(message, actions);
-    actions.emplace_back(pushRecord("changes_taken", message.from(), push, *this->parts.store));
+    actions.emplace_back(pushRecord("changes_taken", message.from(), push, *this->dependencies.store));
     if (push.is_unasked())
-        this->pulls.delivered();
+        this->pulls.recordReceivedPush();
     else
-        this->pulls.answered();
+        this->pulls.recordAnswer();
     // A value was packed against a base that this instance does not hold: request it without a base.
-    this->needsValuesWithoutBase = !this->parts.store->applyPush(push, now, actions);
-    this->pulls.reached(this->parts.store->view().revision());
+    this->needsValuesWithoutBase = !this->dependencies.store->applyPush(push, now, actions);
+    this->pulls.recordReachedRevision(this->dependencies.store->view().revision());
     this->pull(now, actions);
     this->announceFirstView(now, actions);
 }
 
-void NewsExchange::handleNews(const peers::PeerMessage& message, Milliseconds now, Actions& actions)
+void GossipExchange::handleNews(const peers::PeerMessage& message, Milliseconds now, Actions& actions)
 {
     const peers::News& news = message.news();
     const peers::Incarnation& origin = news.origin().incarnation();
@@ -250,36 +251,36 @@
     this->relay(message, actions);
     const bool introduces = !this->duty.knows(origin) && this->shouldIntroduceMembers(now);
     const Milliseconds age{ static_cast<double>(news.age_milliseconds()) };
-    this->duty.heardWatcher(news.origin(), news.is_confirmed() ? now - age : LongAgo, now);
+    this->duty.recordWatcherMessage(news.origin(), news.is_confirmed() ? now - age : LongAgo, now);
     for (const peers::Member& watcher : news.watchers())
-        this->duty.toldOfWatcher(watcher, now);
+        this->duty.recordNamedWatcher(watcher, now);
     if (introduces)
         this->introduceMembers(news.origin(), now, actions);
-    this->members.heard(news.origin(), news.store_revision(), now);
+    this->members.update(news.origin(), news.store_revision(), now);
     for (const peers::Member& contact : news.contacts())
         this->contacts.learn(addressOf(contact));
     this->reportedInstances = news.member_count();
     this->instancesReportedAt = now;
-    const bool isTaken = this->parts.store->applyNews(news, now, actions);
-    this->pulls.reached(this->parts.store->view().revision());
+    const bool isTaken = this->dependencies.store->applyNews(news, now, actions);
+    this->pulls.recordReachedRevision(this->dependencies.store->view().revision());
     if (isTaken)
         return;
     if (news.base_revision())
-        actions.emplace_back(incompleteNewsRecord(news, *this->parts.store, now));
+        actions.emplace_back(incompleteNewsRecord(news, *this->dependencies.store, now));
     if (news.large_changes_follow())
-        this->pulls.promised(now);
-    this->pulls.behind(news.origin(), news.store_revision(), news.base_revision() != 0, now);
+        this->pulls.recordAnnouncedPush(now);
+    this->pulls.recordMissingChanges(news.origin(), news.store_revision(), news.base_revision() != 0, now);
     this->pull(now, actions);
 }
 
-bool NewsExchange::shouldIntroduceMembers(Milliseconds now) const
+bool GossipExchange::shouldIntroduceMembers(Milliseconds now) const
 {
     // If all did, then whenever all instances watch for a moment, as in a store outage, each would send its member list
     // to every other.
-    return this->leads(now) || this->duty.heardWatchers(now).empty();
+    return this->isLeadingWatcher(now) || this->duty.reportingWatchers(now).empty();
 }
 
-void NewsExchange::introduceMembers(const peers::Member& watcher, Milliseconds now, Actions& actions) const
+void GossipExchange::introduceMembers(const peers::Member& watcher, Milliseconds now, Actions& actions) const
 {
     const auto wanted = this->duty.watchers(now);
     const bool isWanted = std::any_of(wanted.begin(), wanted.end(),
@@ -296,24 +297,24 @@
     this->send(addressOf(watcher), std::move(message), actions);
 }
 
-void NewsExchange::relay(const peers::PeerMessage& message, Actions& actions) const
+void GossipExchange::relay(const peers::PeerMessage& message, Actions& actions) const
 {
     const auto receivers = unpack(message.has_push() ? message.push().relay_to() : message.news().relay_to());
     if (receivers.empty())
         return;
-    this->sendToBranches(branchesOf(receivers, this->options.tree.mostBranches), message, actions);
+    this->sendToBranches(splitIntoBranches(receivers, this->options.tree.mostBranches), message, actions);
 }
 
-void NewsExchange::sendToBranches(
-    const std::vector<NewsBranch>& branches, peers::PeerMessage message, Actions& actions) const
+void GossipExchange::sendToBranches(
+    const std::vector<GossipBranch>& branches, peers::PeerMessage message, Actions& actions) const
 {
-    for (const NewsBranch& branch : branches) {
+    for (const GossipBranch& branch : branches) {
         setRelays(message, branch.relayTo);
         this->send(branch.receiver, message, actions);
     }
 }
 
-void NewsExchange::pull(Milliseconds now, Actions& actions)
+void GossipExchange::pull(Milliseconds now, Actions& actions)
 {
     const auto from = this->pulls.next(now);
     if (!from)
@@ -321,67 +322,67 @@
     // The receiver learns from the hello where to send its answer.
     this->send(addressOf(*from), this->makeHello(now), actions);
     peers::PeerMessage message;
-    message.mutable_pull()->set_store_revision(this->parts.store->view().revision());
+    message.mutable_pull()->set_store_revision(this->dependencies.store->view().revision());
     message.mutable_pull()->set_by_themselves(this->needsValuesWithoutBase);
     actions.emplace_back(
-        beliefOf("changes_asked", from->incarnation().name()).with("have", message.pull().store_revision()));
+        knowledgeRecord("changes_asked", from->incarnation().name()).with("have", message.pull().store_revision()));
     this->send(addressOf(*from), std::move(message), actions);
 }
 
-peers::PeerMessage NewsExchange::makeHello(Milliseconds now) const
+peers::PeerMessage GossipExchange::makeHello(Milliseconds now) const
 {
     peers::PeerMessage message;
     peers::Hello* hello = message.mutable_hello();
     *hello->mutable_member() = this->options.self;
-    hello->set_store_revision(this->parts.store->view().revision());
-    this->parts.signs->fill(*hello->mutable_leaving_signs(), now);
-    this->parts.limits->fill(*hello->mutable_limits(), true, now);
-    this->parts.crashes->fillWithOwn(*hello->mutable_crashes(), now);
-    this->parts.rollouts->fill(*hello->mutable_rollouts());
+    hello->set_store_revision(this->dependencies.store->view().revision());
+    this->dependencies.signs->fill(*hello->mutable_leaving_signs(), now);
+    this->dependencies.limits->appendLimitReports(*hello->mutable_limits(), true, now);
+    this->dependencies.crashes->appendOwnReports(*hello->mutable_crashes(), now);
+    this->dependencies.rollouts->appendEvidence(*hello->mutable_rollouts());
     return message;
 }
 
-peers::PeerMessage NewsExchange::makeNews(StoreRevision since, Milliseconds now)
+peers::PeerMessage GossipExchange::makeNews(StoreRevision since, Milliseconds now)
 {
     peers::PeerMessage message;
     peers::News* news = message.mutable_news();
     *news->mutable_origin() = this->options.self;
     news->set_number(++this->newsNumber);
-    this->parts.store->fillNews(*news, this->duty.leads(now) ? since : 0, now);
-    for (const peers::Member& watcher : this->duty.heardWatchers(now))
+    this->dependencies.store->fillNews(*news, this->duty.isLeader(now) ? since : 0, now);
+    for (const peers::Member& watcher : this->duty.reportingWatchers(now))
         *news->add_watchers() = watcher;
     news->set_member_count(static_cast<std::uint32_t>(this->instances(now)));
-    this->parts.signs->fill(*news->mutable_leaving_signs(), now);
-    this->parts.limits->fill(*news->mutable_limits(), false, now);
+    this->dependencies.signs->fill(*news->mutable_leaving_signs(), now);
+    this->dependencies.limits->appendLimitReports(*news->mutable_limits(), false, now);
     // Sent by all watchers, because after the loss of the leading one it takes 3 s until the next one leads.
-    this->parts.crashes->fillWithAll(*news->mutable_crashes(), now);
+    this->dependencies.crashes->appendAllReports(*news->mutable_crashes(), now);
     const bool includesContacts = this->newsNumber % UpdatesPerContactList == 0 && this->members.size();
     for (std::size_t count = 0; includesContacts && count < ContactsPerUpdate; ++count) {
-        const std::size_t index = this->parts.random->below(this->members.size());
+        const std::size_t index = this->dependencies.random->below(this->members.size());
         *news->add_contacts() = this->members.members()[index].member;
     }
     return message;
 }
 
-void NewsExchange::broadcastNews(Milliseconds now, Actions& actions)
+void GossipExchange::broadcastNews(Milliseconds now, Actions& actions)
 {
     this->members.tick(now);
     this->lastBroadcastAt = now;
     const peers::PeerMessage message = this->makeNews(this->broadcastRevision, now);
-    this->broadcastRevision = this->parts.store->view().revision();
-    const auto branches = firstBranches(this->members.members(), this->options.tree, now);
+    this->broadcastRevision = this->dependencies.store->view().revision();
+    const auto branches = rootBranches(this->members.members(), this->options.tree, now);
     this->sendToBranches(branches, message, actions);
     this->sendToOtherWatchers(message, now, actions);
     if (!message.news().large_changes_follow())
         return;
     peers::PeerMessage follows;
-    *follows.mutable_push() = this->parts.store->pushAfterNews(message.news());
+    *follows.mutable_push() = this->dependencies.store->pushAfterNews(message.news());
     actions.emplace_back(
-        pushRecord("changes_sent", this->options.self.incarnation(), follows.push(), *this->parts.store));
+        pushRecord("changes_sent", this->options.self.incarnation(), follows.push(), *this->dependencies.store));
     this->sendToBranches(branches, std::move(follows), actions);
 }
 
-void NewsExchange::sendToOtherWatchers(const peers::PeerMessage& news, Milliseconds now, Actions& actions) const
+void GossipExchange::sendToOtherWatchers(const peers::PeerMessage& news, Milliseconds now, Actions& actions) const
 {
     const auto& list = this->members.members();
     for (const peers::Member& watcher : this->duty.watchers(now)) {
@@ -393,25 +394,25 @@
     }
 }
 
-void NewsExchange::notifyOthers(Milliseconds now, Actions& actions)
+void GossipExchange::notifyOthers(Milliseconds now, Actions& actions)
 {
-    if (this->parts.store->isWatching())
+    if (this->dependencies.store->isWatching())
         this->broadcastNews(now, actions);
     else
         this->sendHellos(now, actions);
 }
 
-Milliseconds NewsExchange::nextSearchDelay()
+Milliseconds GossipExchange::nextSearchDelay()
 {
     // The random part keeps instances that start together from sending to the seeds at the same moments.
     const double doubling = std::exp2(static_cast<double>(std::min(this->failedSearches++, MaxSearchDoublings)));
-    return this->options.searchInterval * doubling * (1 + SearchJitter * this->parts.random->unit());
+    return this->options.searchInterval * doubling * (1 + SearchJitter * this->dependencies.random->unit());
 }
 
-void NewsExchange::sendHellos(Milliseconds now, Actions& actions)
+void GossipExchange::sendHellos(Milliseconds now, Actions& actions)
 {
     const std::vector<peers::Member> watchers = this->duty.watchers(now);
-    const bool isSearching = watchers.empty() && !this->parts.store->isWatching();
+    const bool isSearching = watchers.empty() && !this->dependencies.store->isWatching();
     if (!isSearching)
         this->failedSearches = 0;
     this->nextHello = now + (isSearching ? this->nextSearchDelay() : this->options.helloInterval);
@@ -421,29 +422,29 @@
         this->sendHellosToSeeds(now, actions);
 }
 
-void NewsExchange::sendHellosToSeeds(Milliseconds now, Actions& actions)
+void GossipExchange::sendHellosToSeeds(Milliseconds now, Actions& actions)
 {
     this->nextSeeds = now + this->options.seedInterval;
     for (const NetworkAddress& seed : this->options.seeds) {
         this->send(seed, this->makeHello(now), actions);
         // Instances that search for a watcher ask the seeds, so the seeds must know this one.
-        if (this->parts.store->isWatching())
+        if (this->dependencies.store->isWatching())
             this->send(seed, this->makeNews(0, now), actions);
     }
     if (!this->duty.watchers(now).empty())
         return;
-    for (const NetworkAddress& contact : this->contacts.some(ContactsPerSearch, *this->parts.random))
+    for (const NetworkAddress& contact : this->contacts.some(ContactsPerSearch, *this->dependencies.random))
         this->send(contact, this->makeHello(now), actions);
 }
 
-void NewsExchange::tick(Milliseconds now, Actions& actions)
+void GossipExchange::tick(Milliseconds now, Actions& actions)
 {
     if (now >= this->nextHello)
         this->sendHellos(now, actions);
     // Watchers look for other watchers that they are not connected with, such as after a network partition.
-    if (now >= this->nextSeeds && this->parts.store->isWatching())
+    if (now >= this->nextSeeds && this->dependencies.store->isWatching())
         this->sendHellosToSeeds(now, actions);
-    if (now >= this->nextKeepAlive() && this->parts.store->isWatching())
+    if (now >= this->nextKeepAlive() && this->dependencies.store->isWatching())
         this->broadcastNews(now, actions);
     if (now >= this->sendViewAt)
         this->sendViewToNewInstances(now, actions);
@@ -453,36 +454,37 @@
         this->answerInForce(this->knownMembers(now), now, actions);
 }
 
-Milliseconds NewsExchange::nextDue() const
+Milliseconds GossipExchange::nextDue() const
 {
     Milliseconds due = std::min({ this->nextHello, this->sendViewAt, this->pulls.nextDue() });
-    if (this->parts.store->isWatching())
+    if (this->dependencies.store->isWatching())
         due = std::min({ due, this->nextSeeds, this->nextKeepAlive() });
     for (const InForceCall& call : this->inForceCalls)
         due = std::min(due, call.deadline);
-    const bool mayStartWatching = !this->parts.store->isWatching() && this->parts.store->view().revision();
-    return mayStartWatching ? std::min(due, this->duty.nextChange(this->parts.store->lastUpdateAt())) : due;
+    const bool mayStartWatching
+        = !this->dependencies.store->isWatching() && this->dependencies.store->view().revision();
+    return mayStartWatching ? std::min(due, this->duty.nextChange(this->dependencies.store->lastUpdateAt())) : due;
 }
 
-bool NewsExchange::shouldWatch(Milliseconds now)
+bool GossipExchange::shouldWatch(Milliseconds now)
 {
     // Before the first read there is no revision to watch from.
-    return this->parts.store->view().revision()
-        && this->duty.shouldWatch(
-            this->parts.store->isWatching(), this->parts.store->lastUpdateAt(), this->instances(now), now);
+    return this->dependencies.store->view().revision()
+        && this->duty.shouldWatch(this->dependencies.store->isWatching(), this->dependencies.store->lastUpdateAt(),
+            this->instances(now), now);
 }
 
-std::size_t NewsExchange::instances(Milliseconds now) const
+std::size_t GossipExchange::instances(Milliseconds now) const
 {
     const std::size_t known = this->members.size() + 1;
     return now - this->instancesReportedAt > ReportedCountLifetime ? known : std::max(known, this->reportedInstances);
 }
 
-void NewsExchange::requestMembers(OperatorCallNumber call, Milliseconds now, Actions& actions)
+void GossipExchange::requestMembers(OperatorCallNumber call, Milliseconds now, Actions& actions)
 {
     this->inForceCalls.push_back({ .call = call, .deadline = now + InForceTimeout });
     const std::vector<peers::Member> watchers = this->duty.watchers(now);
-    if (this->parts.store->isWatching() || watchers.empty())
+    if (this->dependencies.store->isWatching() || watchers.empty())
         return this->answerInForce(this->knownMembers(now), now, actions);
     this->send(addressOf(watchers.front()), this->makeHello(now), actions);
     peers::PeerMessage message;
@@ -490,7 +492,7 @@
     this->send(addressOf(watchers.front()), std::move(message), actions);
 }
 
-peers::MembersPush NewsExchange::knownMembers(Milliseconds now) const
+peers::MembersPush GossipExchange::knownMembers(Milliseconds now) const
 {
     peers::MembersPush push;
     const auto add = [&](const peers::Member& member, StoreRevision revision, Milliseconds heardAt) {
@@ -499,17 +501,17 @@
         known->set_store_revision(revision);
         known->set_age_milliseconds(static_cast<std::uint32_t>(std::max(0.0, (now - heardAt).count)));
     };
-    add(this->options.self, this->parts.store->view().revision(), now);
+    add(this->options.self, this->dependencies.store->view().revision(), now);
     for (const KnownMember& known : this->members.members())
         add(known.member, known.revision, known.heardAt);
     return push;
 }
 
-void NewsExchange::answerInForce(const peers::MembersPush& known, Milliseconds now, Actions& actions)
+void GossipExchange::answerInForce(const peers::MembersPush& known, Milliseconds now, Actions& actions)
 {
     v1::ShowInForceAnswer answer;
-    answer.set_store_revision(this->parts.store->view().revision());
-    const Milliseconds age = now - this->parts.store->confirmedAt();
+    answer.set_store_revision(this->dependencies.store->view().revision());
+    const Milliseconds age = now - this->dependencies.store->confirmedAt();
     constexpr double longest = 1e9;
     answer.set_age_milliseconds(static_cast<std::uint32_t>(std::clamp(age.count, 0.0, longest)));
     for (const peers::KnownMember& member : known.members()) {
--- a/Source/Node/NewsExchange.h
+++ b/Source/Node/GossipExchange.h
@@ -1,18 +1,18 @@
 #pragma once
 
 #include "Base/NetworkAddress.h"
-#include "Membership/ContactBook.h"
+#include "Membership/ContactRegistry.h"
+#include "Membership/GossipTree.h"
 #include "Membership/MemberTable.h"
-#include "Membership/NewsTree.h"
-#include "Membership/PullPlan.h"
-#include "Membership/WatchDuty.h"
+#include "Membership/PullScheduler.h"
+#include "Membership/WatcherSelection.h"
 #include "Metrics/DecisionCounters.h"
 #include "Node/Actions.h"
-#include "Node/CrashingRequests.h"
+#include "Node/CrashingRequestDetector.h"
 #include "Node/LeavingSigns.h"
-#include "Node/RolloutDesk.h"
-#include "Node/ServerLimits.h"
-#include "Node/StoreKeeper.h"
+#include "Node/RolloutManager.h"
+#include "Node/ServerRateLimiter.h"
+#include "Node/StoreSynchronizer.h"
 
 #include <cstdint>
 #include <map>
@@ -29,7 +29,7 @@
  * timers. Output: messages to other instances, and answers to operators who ask
  * which revision is in force where.
  *
- * - A few instances, the watchers (see WatchDuty), watch the store. All others
+ * - A few instances, the watchers (see WatcherSelection), watch the store. All others
  *   send hello messages to the watchers regularly; an instance that knows no
  *   watcher sends them to the seeds of its settings and to some other contacts,
  *   which reply with the watchers that they know.
@@ -43,7 +43,7 @@
  * - Instances that have no data yet are sent the whole view, collected for a
  *   short interval and over one tree.
  */
-class NewsExchange {
+class GossipExchange {
 public:
     struct Options {
         peers::Member self;
@@ -63,22 +63,22 @@
          */
         Milliseconds newInstanceInterval{ 30 };
         MemberTable::Options members;
-        WatchDuty::Options duty;
-        NewsTreeOptions tree;
-        PullPlan::Options pulls;
+        WatcherSelection::Options duty;
+        GossipTreeOptions tree;
+        PullScheduler::Options pulls;
     };
 
-    struct Parts {
-        StoreKeeper* store = nullptr;
+    struct Dependencies {
+        StoreSynchronizer* store = nullptr;
         LeavingSigns* signs = nullptr;
-        CrashingRequests* crashes = nullptr;
-        RolloutDesk* rollouts = nullptr;
-        ServerLimits* limits = nullptr;
+        CrashingRequestDetector* crashes = nullptr;
+        RolloutManager* rollouts = nullptr;
+        ServerRateLimiter* limits = nullptr;
         Random* random = nullptr;
         DecisionCounters* counters = nullptr;
     };
 
-    NewsExchange(Options options, Parts parts);
+    GossipExchange(Options options, Dependencies parts);
 
     void receive(const peers::PeerMessage& message, Milliseconds now, Actions& actions);
     /** Sends a gossip update to all instances, after the store confirmed or changed the local view. */
@@ -95,22 +95,25 @@
 
     bool shouldWatch(Milliseconds now);
     /** True for the leading watcher, which writes the fleet's shared items to the store. */
-    bool leads(Milliseconds now) const { return this->parts.store->isWatching() && this->duty.leads(now); }
-    bool isWatching() const { return this->parts.store->isWatching(); }
+    bool isLeadingWatcher(Milliseconds now) const
+    {
+        return this->dependencies.store->isWatching() && this->duty.isLeader(now);
+    }
+    bool isWatching() const { return this->dependencies.store->isWatching(); }
     /**
      * The first by rank of the instances that watch the store; nothing when it is this one or none is known. Instances
      * that receive the same updates agree on it, also while the store is unavailable.
      */
     std::optional<peers::Member> firstOtherWatcher(Milliseconds now) const
     {
-        return this->duty.firstBefore(this->isWatching(), now);
+        return this->duty.findHigherRankedWatcher(this->isWatching(), now);
     }
     /** A call from this instance to the store failed. */
-    void storeCallFailed() { this->duty.askedInVain(); }
+    void storeCallFailed() { this->duty.recordFailedCall(); }
     /** Other instances that sent a hello to this one recently. */
     const std::vector<KnownMember>& knownInstances() const { return this->members.members(); }
     /** Null when no instance of this name was heard from recently. */
-    const KnownMember* memberNamed(std::string_view name) const { return this->members.byName(name); }
+    const KnownMember* findMember(std::string_view name) const { return this->members.byName(name); }
     /** Number of known instances in the fleet, this one included. */
     std::size_t instances(Milliseconds now) const;
     /** Asks a watcher for all instances and their revisions; the answer is appended as an AnswerInForce action. */
@@ -148,7 +151,7 @@
      */
     void sendToOtherWatchers(const peers::PeerMessage& news, Milliseconds now, Actions& actions) const;
     Milliseconds nextKeepAlive() const { return this->lastBroadcastAt + this->options.keepAliveInterval; }
-    void sendToBranches(const std::vector<NewsBranch>& branches, peers::PeerMessage message, Actions& actions) const;
+    void sendToBranches(const std::vector<GossipBranch>& branches, peers::PeerMessage message, Actions& actions) const;
     /** True when this instance sends its member list to new watchers: it leads, or knows no watcher. */
     bool shouldIntroduceMembers(Milliseconds now) const;
     /** Sends the known members to a new watcher, if it is one of those that this instance wants updates from. */
@@ -166,11 +169,11 @@
     void answerInForce(const peers::MembersPush& members, Milliseconds now, Actions& actions);
 
     Options options;
-    Parts parts;
+    Dependencies dependencies;
     MemberTable members;
-    ContactBook contacts;
-    WatchDuty duty;
-    PullPlan pulls;
+    ContactRegistry contacts;
+    WatcherSelection duty;
+    PullScheduler pulls;
     std::map<std::string, LastNews> lastNews; // by origin
     std::uint64_t newsNumber = 0;
     StoreRevision broadcastRevision = 0; // of the last update; all receivers but new ones have at least this
--- a/Source/Node/KnowledgeRecords.cpp
+++ b/Source/Node/KnowledgeRecords.cpp
@@ -1,6 +1,6 @@
 #include "Node/KnowledgeRecords.h"
 
-#include "Quotas/GrantorTenure.h"
+#include "Quotas/CreditGrantorLease.h"
 
 #include <string>
 
@@ -8,8 +8,8 @@
 
 DecisionRecord grantorRecord(const StoreItem& item, ChangeSource source)
 {
-    const auto grantor = readGrantor(item.value);
-    return beliefOf("credit_grantor", grantor ? grantor->member().incarnation().name() : "nobody")
+    const auto grantor = decodeGrantor(item.value);
+    return knowledgeRecord("credit_grantor", grantor ? grantor->member().incarnation().name() : "nobody")
         .with("released", grantor && grantor->released() ? "yes" : "no")
         .with("revision", item.revision)
         .with("heard_from", nameOf(source));
@@ -28,7 +28,7 @@
             weights += ':';
             weights += std::to_string(part.weight);
         }
-        actions.emplace_back(beliefOf("route_divided", route.name).with("weights", weights));
+        actions.emplace_back(knowledgeRecord("route_divided", route.name).with("weights", weights));
     }
 }
 
--- a/Source/Node/LeavingSigns.cpp
+++ b/Source/Node/LeavingSigns.cpp
@@ -6,7 +6,7 @@
 
 namespace burlreach {
 
-LeavingSigns::LeavingSigns(Options givenOptions, NoticeBook& givenBook, const ServiceTable& givenServices)
+LeavingSigns::LeavingSigns(Options givenOptions, NoticeRegistry& givenBook, const ServiceTable& givenServices)
     : options(givenOptions)
     , book(&givenBook)
     , services(&givenServices)
@@ -16,7 +16,7 @@
 void LeavingSigns::record(const std::string& backendServer, const Sign& sign, bool isFromServer)
 {
     // Notices are kept also for servers without a record, because the record may be written again.
-    if (!this->book->heardLeaving(backendServer, sign.life, sign.at))
+    if (!this->book->recordLeaving(backendServer, sign.life, sign.at))
         return;
     const auto server = this->services->backendServer(backendServer);
     if (!server || server->record().life != sign.life)
--- a/Source/Node/LeavingSigns.h
+++ b/Source/Node/LeavingSigns.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Base/Milliseconds.h"
-#include "Routing/NoticeBook.h"
+#include "Routing/NoticeRegistry.h"
 #include "peers.pb.h"
 
 #include <cstdint>
@@ -35,7 +35,7 @@
     };
 
     /** The referenced objects must outlive this one. */
-    LeavingSigns(Options options, NoticeBook& book, const ServiceTable& services);
+    LeavingSigns(Options options, NoticeRegistry& book, const ServiceTable& services);
 
     /** Records that the server announced in an answer that it is leaving. */
     void addOwn(const std::string& backendServer, std::uint64_t life, Milliseconds now);
@@ -54,7 +54,7 @@
     void record(const std::string& backendServer, const Sign& sign, bool isFromServer);
 
     Options options;
-    NoticeBook* book;
+    NoticeRegistry* book;
     const ServiceTable* services;
     std::map<std::string, Sign> signs;
     std::vector<LeavingServer> foundServers;
--- a/Source/Node/LoadView.cpp
+++ b/Source/Node/LoadView.cpp
@@ -23,7 +23,7 @@
 
 }
 
-v1::ShowLoadAnswer loadView(const ServiceTable& services, const std::string& name, Milliseconds now)
+v1::ShowLoadAnswer describeLoad(const ServiceTable& services, const std::string& name, Milliseconds now)
 {
     v1::ShowLoadAnswer answer;
     const auto service = services.byName(name);
@@ -40,11 +40,11 @@
         load->set_own_in_flight(static_cast<std::uint32_t>(server->inFlight()));
         load->set_response_milliseconds(0);
         load->set_state(stateOf(*server, now));
-        const LoadReport& report = server->report();
+        const TimedLoadReport& report = server->report();
         if (report.at == LongAgo)
             continue;
-        load->set_reported_in_flight(report.figures.running + report.figures.waiting);
-        load->set_work_percent(report.figures.workPercent);
+        load->set_reported_in_flight(report.load.running + report.load.waiting);
+        load->set_work_percent(report.load.workPercent);
         load->set_report_age_milliseconds(static_cast<std::uint32_t>((now - report.at).count));
     }
     return answer;
--- a/Source/Node/LoadView.h
+++ b/Source/Node/LoadView.h
@@ -8,6 +8,6 @@
 namespace burlreach {
 
 /** This instance's view of the backend servers of a service and their load, for the operators' tool. */
-v1::ShowLoadAnswer loadView(const ServiceTable& services, const std::string& service, Milliseconds now);
+v1::ShowLoadAnswer describeLoad(const ServiceTable& services, const std::string& service, Milliseconds now);
 
 }
--- a/Source/Node/NewsRecords.cpp
+++ b/Source/Node/NewsRecords.cpp
@@ -2,9 +2,9 @@
 
 namespace burlreach {
 
-DecisionRecord incompleteNewsRecord(const peers::News& news, const StoreKeeper& store, Milliseconds now)
+DecisionRecord incompleteNewsRecord(const peers::News& news, const StoreSynchronizer& store, Milliseconds now)
 {
-    return beliefOf("news_incomplete", news.origin().incarnation().name())
+    return knowledgeRecord("news_incomplete", news.origin().incarnation().name())
         .with("base", news.base_revision())
         .with("revision", news.store_revision())
         .with("have", store.view().revision())
@@ -14,9 +14,9 @@
 }
 
 DecisionRecord pushRecord(
-    std::string_view event, const peers::Incarnation& other, const peers::Push& push, const StoreKeeper& store)
+    std::string_view event, const peers::Incarnation& other, const peers::Push& push, const StoreSynchronizer& store)
 {
-    return beliefOf(event, other.name())
+    return knowledgeRecord(event, other.name())
         .with("base", push.base_revision())
         .with("revision", push.store_revision())
         .with("have", store.view().revision())
--- a/Source/Node/NewsRecords.h
+++ b/Source/Node/NewsRecords.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Node/DecisionRecord.h"
-#include "Node/StoreKeeper.h"
+#include "Node/StoreSynchronizer.h"
 #include "peers.pb.h"
 
 #include <string_view>
@@ -9,9 +9,9 @@
 namespace burlreach {
 
 /** Logs a gossip update whose changes are incomplete: earlier changes or large ones are missing. */
-DecisionRecord incompleteNewsRecord(const peers::News& news, const StoreKeeper& store, Milliseconds now);
+DecisionRecord incompleteNewsRecord(const peers::News& news, const StoreSynchronizer& store, Milliseconds now);
 /** Logs a push sent to, or received from, the other instance. */
 DecisionRecord pushRecord(
-    std::string_view event, const peers::Incarnation& other, const peers::Push& push, const StoreKeeper& store);
+    std::string_view event, const peers::Incarnation& other, const peers::Push& push, const StoreSynchronizer& store);
 
 }
--- a/Source/Node/Node.cpp
+++ b/Source/Node/Node.cpp
@@ -86,8 +86,8 @@
     this->shareLeavingSigns(now, actions);
     this->shareLimits(now, actions);
     this->shareCrashes(now, actions);
-    if (now >= this->rollouts.nextTelling()) {
-        this->rollouts.told();
+    if (now >= this->rollouts.nextReportAt()) {
+        this->rollouts.reportSent();
         this->news.notifyWatchers(now, actions);
     }
     for (AnswerChange& answer : this->pendingChangeAnswers)
@@ -115,18 +115,18 @@
 {
     const auto server = this->flow.attemptEnded(event, now, actions);
     if (server && event.end.result == AttemptResult::OtherServer)
-        this->crashes.replaced(server->id(), now, actions);
+        this->crashes.handleServerReplaced(server->id(), now, actions);
 }
 
 void Node::dispatch(const ServerNoticed& event, Milliseconds now, Actions& actions)
 {
     if (event.notice.isLeaving)
         this->signs.addOwn(event.backendServer, event.life, now);
-    this->limits.heard(event, now, actions);
-    if (!this->pauses.heard(event, now))
+    this->limits.handleNotice(event, now, actions);
+    if (!this->pauses.handleNotice(event, now))
         return;
     this->decisionCounters.add(DecisionCount::PausesAsked);
-    actions.emplace_back(beliefOf("pause_asked", event.backendServer).with("lasts", event.notice.pause.count));
+    actions.emplace_back(knowledgeRecord("pause_asked", event.backendServer).with("lasts", event.notice.pause.count));
     actions.emplace_back(StopSendingTo{ .backendServer = event.backendServer, .keepsConnections = true });
     // Requests for which this was the only usable server may now have to be refused.
     this->flow.capacityChanged(now, actions);
@@ -134,8 +134,9 @@
 
 void Node::dispatch(const UnreadFieldSeen& event, Milliseconds, Actions& actions)
 {
-    actions.emplace_back(
-        beliefOf("answer_field_unread", event.backendServer).with("field", event.field).with("value", event.value));
+    actions.emplace_back(knowledgeRecord("answer_field_unread", event.backendServer)
+                             .with("field", event.field)
+                             .with("value", event.value));
 }
 
 void Node::dispatch(const ProbeEnded& event, Milliseconds now, Actions& actions)
@@ -144,23 +145,23 @@
     if (!server)
         return;
     if (event.end.load)
-        server->reported(*event.end.load, now);
+        server->updateLoad(*event.end.load, now);
     if (event.end.coldRemaining)
-        server->coldFor(*event.end.coldRemaining, now);
+        server->setColdFor(*event.end.coldRemaining, now);
     if (event.end.isOtherServer) {
         server->markReplaced();
-        this->crashes.replaced(server->id(), now, actions);
+        this->crashes.handleServerReplaced(server->id(), now, actions);
     }
     if (!event.end.isAnswered) {
         this->decisionCounters.add(DecisionCount::ProbesFailed);
         server->probeFailed();
     }
-    this->flow.figuresCame(*server, now, actions);
+    this->flow.loadReportArrived(*server, now, actions);
 }
 
 void Node::dispatch(const ServerChecked& event, Milliseconds now, Actions& actions)
 {
-    this->crashes.checked(event, now, actions);
+    this->crashes.handleServerCheck(event, now, actions);
 }
 
 void Node::shareLeavingSigns(Milliseconds now, Actions& actions)
@@ -171,7 +172,7 @@
     bool hasOwnNotice = false;
     for (const LeavingServer& server : found) {
         hasOwnNotice = hasOwnNotice || server.isFromServer;
-        actions.emplace_back(beliefOf("leaving_sign", server.backendServer)
+        actions.emplace_back(knowledgeRecord("leaving_sign", server.backendServer)
                                  .with("heard_from", server.isFromServer ? "server" : "news")
                                  .with("confirmed_age", (now - this->store.confirmedAt()).count));
         // Attempts that were assigned to this server but not yet written are sent to another one.
@@ -185,8 +186,8 @@
 
 void Node::shareLimits(Milliseconds now, Actions& actions)
 {
-    if (now >= this->limits.nextTelling()) {
-        this->limits.told();
+    if (now >= this->limits.nextReportAt()) {
+        this->limits.reportSent();
         this->news.notifyOthers(now, actions);
     }
     if (this->limits.takeChanged())
@@ -285,39 +286,39 @@
 {
     this->store.callIfDue(this->news.shouldWatch(now), now, actions);
     while (auto request = this->changes.next(now))
-        actions.emplace_back(AskStore{ .request = std::move(*request) });
-    if (auto request = this->quotas.nextCall(this->stopping, now))
-        actions.emplace_back(AskStore{ .request = std::move(*request) });
-    if (auto request = this->rollouts.nextCall(now))
-        actions.emplace_back(AskStore{ .request = std::move(*request) });
+        actions.emplace_back(CallStore{ .request = std::move(*request) });
+    if (auto request = this->quotas.nextStoreCall(this->stopping, now))
+        actions.emplace_back(CallStore{ .request = std::move(*request) });
+    if (auto request = this->rollouts.nextStoreCall(now))
+        actions.emplace_back(CallStore{ .request = std::move(*request) });
     this->logWatching(actions);
 }
 
 void Node::shareCrashes(Milliseconds now, Actions& actions)
 {
-    this->crashes.lookAgain(now, actions);
-    if (now >= this->crashes.nextTelling()) {
-        this->crashes.told(now);
+    this->crashes.startSecondChecks(now, actions);
+    if (now >= this->crashes.nextReportAt()) {
+        this->crashes.reportSent(now);
         this->news.notifyOthers(now, actions);
     }
-    if (this->crashes.takeChanged())
-        this->crashRecorder.changed(now);
+    if (this->crashes.takeStoreRecordChanged())
+        this->crashRecorder.scheduleCheck(now);
     // Until the store was first read, its current value of this item is unknown and must not be overwritten.
     if (!this->crashRecorder.isDue(now) || !this->store.view().revision())
         return;
-    auto request = this->crashRecorder.next(
-        this->crashes.kept(now), this->store.view().find(CrashesKey), this->news.leads(now), now);
+    auto request = this->crashRecorder.nextWrite(
+        this->crashes.makeStoreRecord(now), this->store.view().find(CrashesKey), this->news.isLeadingWatcher(now), now);
     if (request)
-        actions.emplace_back(AskStore{ .request = std::move(*request) });
+        actions.emplace_back(CallStore{ .request = std::move(*request) });
 }
 
 void Node::applyStoredCrashes(const StoreItem& item, Milliseconds now, Actions& actions)
 {
     if (item.removed)
         return;
-    if (const auto kept = readKeptCrashes(item.value))
-        return this->crashes.takeKept(*kept, now, actions);
-    actions.emplace_back(beliefOf("item_unreadable", item.key)
+    if (const auto kept = readCrashRecord(item.value))
+        return this->crashes.mergeStoreRecord(*kept, now, actions);
+    actions.emplace_back(knowledgeRecord("item_unreadable", item.key)
                              .with("problem", "value was not written by an instance; it will be overwritten")
                              .with("revision", item.revision));
 }
@@ -327,7 +328,7 @@
     if (this->store.isWatching() == this->wasWatching)
         return;
     this->wasWatching = this->store.isWatching();
-    actions.emplace_back(beliefOf(this->wasWatching ? "watch_started" : "watch_ended", this->options.name)
+    actions.emplace_back(knowledgeRecord(this->wasWatching ? "watch_started" : "watch_ended", this->options.name)
                              .with("revision", this->store.view().revision()));
 }
 
@@ -339,7 +340,7 @@
     this->wasStale = isStale;
     if (isStale)
         this->decisionCounters.add(DecisionCount::StaleSpells);
-    actions.emplace_back(beliefOf(isStale ? "knowledge_stale" : "knowledge_current", this->options.name)
+    actions.emplace_back(knowledgeRecord(isStale ? "knowledge_stale" : "knowledge_current", this->options.name)
                              .with("revision", this->store.view().revision())
                              .with("confirmed_age", (now - this->store.confirmedAt()).count));
 }
@@ -348,7 +349,7 @@
 {
     Milliseconds due = std::min({ this->news.nextDue(), this->changes.nextDue(), this->services.nextLapseExpiry(),
         this->crashes.nextDue(), this->crashRecorder.nextDue(), this->quotas.nextControlDue(), this->rollouts.nextDue(),
-        this->limits.nextTelling() });
+        this->limits.nextReportAt() });
     if (this->store.isWatching() || !this->store.view().revision())
         due = std::min(due, this->store.nextAt());
     return due;
@@ -370,7 +371,7 @@
             actions.emplace_back(TranslateItem{ .item = item, .source = source });
     }
     if (this->isLargeBatch) {
-        actions.emplace_back(beliefOf("items_changed", this->options.name)
+        actions.emplace_back(knowledgeRecord("items_changed", this->options.name)
                                  .with("items", std::uint64_t{ items.size() })
                                  .with("heard_from", nameOf(source))
                                  .with("backend_servers", std::uint64_t{ this->services.backendServers() }));
@@ -389,7 +390,7 @@
 {
     for (const Finding& finding : item.facts.findings.all()) {
         this->decisionCounters.add(DecisionCount::ConfigurationsUnreadable);
-        actions.emplace_back(beliefOf("item_unreadable", item.key)
+        actions.emplace_back(knowledgeRecord("item_unreadable", item.key)
                                  .with("place", finding.place)
                                  .with("problem", finding.message)
                                  .with("revision", item.revision));
@@ -402,8 +403,8 @@
         return;
     this->applyDataCentres(item, now, actions);
     this->applyBackendServers(item, now, actions);
-    this->rollouts.ordered(item.facts, now, actions);
-    this->rollouts.apply();
+    this->rollouts.updateOrders(item.facts, now, actions);
+    this->rollouts.updateVersionRules();
 }
 
 void Node::applyRouting(const TranslatedItem& item, Milliseconds now, Actions& actions)
@@ -417,7 +418,7 @@
     if (isFirst || before != next.callerLimits)
         actions.emplace_back(SetCallerLimits{ .limits = next.callerLimits });
     addSplitRouteRecords(next, MaxLinesPerBatch, actions);
-    actions.emplace_back(beliefOf("configuration_in_force", item.key)
+    actions.emplace_back(knowledgeRecord("configuration_in_force", item.key)
                              .with("version", next.version)
                              .with("revision", item.revision)
                              .with("routes", std::uint64_t{ next.routes.size() })
@@ -430,10 +431,11 @@
 void Node::applyDataCentres(const TranslatedItem& item, Milliseconds now, Actions& actions)
 {
     for (const DataCentreOrder& order : this->services.setDataCentres(item.facts, now)) {
-        actions.emplace_back(beliefOf(order.emptied ? "data_centre_emptied" : "data_centre_in_use", order.dataCentre)
-                                 .with("revision", item.revision)
-                                 .with("heard_from", nameOf(item.source))
-                                 .with("confirmed_age", (now - this->store.confirmedAt()).count));
+        actions.emplace_back(
+            knowledgeRecord(order.emptied ? "data_centre_emptied" : "data_centre_in_use", order.dataCentre)
+                .with("revision", item.revision)
+                .with("heard_from", nameOf(item.source))
+                .with("confirmed_age", (now - this->store.confirmedAt()).count));
         if (!order.emptied)
             continue;
         // Attempts that are still connecting to this data centre are sent elsewhere.
@@ -461,11 +463,11 @@
         || change.kind == BackendServerChange::Kind::Unusable || change.kind == BackendServerChange::Kind::Restarted;
     if (isOver) {
         this->probes.forget(change.record.id);
-        this->crashes.replaced(change.record.id, now, actions);
+        this->crashes.handleServerReplaced(change.record.id, now, actions);
     }
     if (isOver || change.kind == BackendServerChange::Kind::Draining)
         actions.emplace_back(StopSendingTo{ .backendServer = change.record.id });
-    return beliefOf(nameOf(change.kind), change.record.id)
+    return knowledgeRecord(nameOf(change.kind), change.record.id)
         .with("service", change.record.service)
         .with("address", change.record.address.text())
         .with("confirmed_age", (now - this->store.confirmedAt()).count);
--- a/Source/Node/Node.h
+++ b/Source/Node/Node.h
@@ -2,24 +2,24 @@
 
 #include "Base/Random.h"
 #include "Configuration/ChangeCoordinator.h"
-#include "Configuration/FactTranslator.h"
+#include "Configuration/StoreItemTranslator.h"
 #include "Membership/FleetSize.h"
 #include "Metrics/DecisionCounters.h"
 #include "Node/Actions.h"
 #include "Node/CrashRecorder.h"
-#include "Node/CrashingRequests.h"
+#include "Node/CrashingRequestDetector.h"
 #include "Node/Events.h"
+#include "Node/GossipExchange.h"
 #include "Node/LeavingSigns.h"
 #include "Node/LoadView.h"
-#include "Node/NewsExchange.h"
 #include "Node/PolicyFactory.h"
-#include "Node/QuotaDesk.h"
+#include "Node/QuotaManager.h"
 #include "Node/RequestFlow.h"
-#include "Node/RolloutDesk.h"
-#include "Node/ServerLimits.h"
+#include "Node/RolloutManager.h"
 #include "Node/ServerPauses.h"
+#include "Node/ServerRateLimiter.h"
 #include "Node/ServiceTable.h"
-#include "Node/StoreKeeper.h"
+#include "Node/StoreSynchronizer.h"
 #include "Node/TranslatedItem.h"
 
 #include <cstdint>
@@ -35,8 +35,8 @@
  * actions. Node itself uses no socket, thread, clock or file, so the daemon, the
  * tests, the fault matrix and the benchmarks can all drive it.
  *
- * RequestFlow handles requests. StoreKeeper holds a copy of the store's items,
- * which are translated into the ServiceTable. NewsExchange sends and receives
+ * RequestFlow handles requests. StoreSynchronizer holds a copy of the store's items,
+ * which are translated into the ServiceTable. GossipExchange sends and receives
  * the gossip updates that instances share.
  */
 class Node final : private StoreListener, private ChangeListener {
@@ -55,7 +55,7 @@
         double probesPerSecond = 30; // to one backend server, from all instances together
         StoreReader::Options store; // `prefix` is overwritten with the translator's
         std::string changeKey; // store key of the document that operators' calls change; empty: calls are refused
-        std::shared_ptr<const FactTranslator> translator; // never null
+        std::shared_ptr<const StoreItemTranslator> translator; // never null
         std::shared_ptr<const PolicyFactory> policies; // null: the default policy
         RequestFlow::Options requests;
     };
@@ -81,7 +81,7 @@
     Milliseconds confirmedAt() const { return this->store.confirmedAt(); }
     v1::ShowLoadAnswer showLoad(const std::string& service, Milliseconds now) const
     {
-        return loadView(this->services, service, now);
+        return describeLoad(this->services, service, now);
     }
     v1::ShowCrashingRequestsAnswer showCrashingRequests(Milliseconds now) const { return this->crashes.show(now); }
     v1::ShowCustomerAnswer showCustomer(const std::string& customer, Milliseconds now) const
@@ -97,7 +97,7 @@
     /** True when this instance grants the permits for requests to backend servers that have a request limit. */
     bool grantsPermits(Milliseconds now) const { return this->news.isWatching() && !this->news.firstOtherWatcher(now); }
     /** Number of requests during which backend servers crashed. */
-    std::size_t suspectedRequests() const { return this->crashes.size(); }
+    std::size_t crashingRequestCount() const { return this->crashes.size(); }
 
 private:
     void dispatch(const RequestArrived& event, Milliseconds now, Actions& actions);
@@ -147,20 +147,20 @@
     Random random;
     DecisionCounters decisionCounters;
     StoreCallNumbers storeCalls;
-    NoticeBook notices;
-    LimitBook limitBook;
+    NoticeRegistry notices;
+    LimitRegistry limitBook;
     ServiceTable services;
     LeavingSigns signs;
     ServerPauses pauses;
-    CrashingRequests crashes;
+    CrashingRequestDetector crashes;
     CrashRecorder crashRecorder;
-    StoreKeeper store;
-    NewsExchange news;
-    QuotaDesk quotas;
-    RolloutDesk rollouts;
-    ServerLimits limits;
+    StoreSynchronizer store;
+    GossipExchange news;
+    QuotaManager quotas;
+    RolloutManager rollouts;
+    ServerRateLimiter limits;
     FleetSize fleetSize;
-    ProbeDesk probes;
+    ProbeManager probes;
     RequestFlow flow;
     ChangeCoordinator changes;
     std::vector<AnswerChange> pendingChangeAnswers; // appended to the actions at the end of the event
--- a/Source/Node/PeerEnvelope.cpp
+++ b/Source/Node/PeerEnvelope.cpp
@@ -6,7 +6,7 @@
 
 namespace burlreach {
 
-SendToPeer addressedTo(const NetworkAddress& address, const peers::Incarnation& from, peers::PeerMessage message)
+SendToPeer makeSendToPeer(const NetworkAddress& address, const peers::Incarnation& from, peers::PeerMessage message)
 {
     message.set_version(PeerProtocolVersion);
     *message.mutable_from() = from;
--- a/Source/Node/PeerEnvelope.h
+++ b/Source/Node/PeerEnvelope.h
@@ -5,6 +5,6 @@
 namespace burlreach {
 
 /** Wraps the message with the protocol version and its sender, for delivery to the address. */
-SendToPeer addressedTo(const NetworkAddress& address, const peers::Incarnation& from, peers::PeerMessage message);
+SendToPeer makeSendToPeer(const NetworkAddress& address, const peers::Incarnation& from, peers::PeerMessage message);
 
 }
--- a/Source/Node/QuotaDesk.cpp
+++ b/Source/Node/QuotaManager.cpp
@@ -1,6 +1,6 @@
-#include "Node/QuotaDesk.h"
+#include "Node/QuotaManager.h"
 
-#include "Node/NewsExchange.h"
+#include "Node/GossipExchange.h"
 #include "Node/PeerEnvelope.h"
 
 #include <algorithm>
@@ -17,24 +17,24 @@
 
 }
 
-QuotaDesk::QuotaDesk(const Options& givenOptions, Parts givenParts)
+QuotaManager::QuotaManager(const Options& givenOptions, Dependencies givenParts)
     : options(givenOptions)
-    , parts(givenParts)
+    , dependencies(givenParts)
     , desk({ .bound = givenOptions.bound }, *givenParts.random)
     , grants(givenOptions.bound)
     , tenure({ .self = givenOptions.self }, *givenParts.storeCalls, *givenParts.random)
 {
 }
 
-GrantMode QuotaDesk::mode(Milliseconds now) const
+GrantMode QuotaManager::mode(Milliseconds now) const
 {
     return this->tenure.mode(now);
 }
 
-v1::ShowCustomerAnswer QuotaDesk::show(const std::string& customer, Milliseconds now) const
+v1::ShowCustomerAnswer QuotaManager::show(const std::string& customer, Milliseconds now) const
 {
     v1::ShowCustomerAnswer answer;
-    const Customer* found = this->parts.services->customers().byName(customer);
+    const Customer* found = this->dependencies.services->customers().byName(customer);
     if (!found) {
         v1::Finding* finding = answer.add_findings();
         finding->set_place("/customer");
@@ -51,24 +51,24 @@
     return answer;
 }
 
-const Customer* QuotaDesk::customerOf(const RequestState& request) const
+const Customer* QuotaManager::customerOf(const RequestState& request) const
 {
-    const Customer* customer = this->parts.services->customers().byName(request.identity.customer);
+    const Customer* customer = this->dependencies.services->customers().byName(request.identity.customer);
     return customer && customer->limit.isSet() ? customer : nullptr;
 }
 
-CreditDecision QuotaDesk::requestCredit(RequestState& request, Milliseconds now)
+CreditDecision QuotaManager::requestCredit(RequestState& request, Milliseconds now)
 {
     const Customer* customer = this->customerOf(request);
     if (!customer)
-        return { .outcome = CreditDecision::Outcome::Granted, .grantedAt = now, .comeBackAfter = {} };
+        return { .outcome = CreditDecision::Outcome::Granted, .grantedAt = now, .retryAfter = {} };
     const CreditDecision decision = this->desk.request(request.number, *customer, now);
     if (decision.outcome == CreditDecision::Outcome::Granted)
         request.creditGrantedAt = decision.grantedAt;
     return decision;
 }
 
-bool QuotaDesk::ensureCredit(RequestState& request, Milliseconds now)
+bool QuotaManager::ensureCredit(RequestState& request, Milliseconds now)
 {
     // Credit counts as used once an attempt may have run, so a retry needs no new credit.
     if (!request.creditGrantedAt || request.history.mayHaveRun || now - *request.creditGrantedAt < CreditLife)
@@ -82,7 +82,7 @@
     return request.creditGrantedAt.has_value();
 }
 
-void QuotaDesk::requestEnded(const RequestState& request, Milliseconds now)
+void QuotaManager::requestEnded(const RequestState& request, Milliseconds now)
 {
     if (request.phase == RequestPhase::AwaitingCredit)
         this->desk.forget(request.number, request.identity.customer);
@@ -90,35 +90,35 @@
         this->desk.giveBack(request.identity.customer, *request.creditGrantedAt, now);
 }
 
-void QuotaDesk::addSettled(std::vector<CreditDesk::Settled> more)
+void QuotaManager::addSettled(std::vector<CreditManager::DecidedRequest> more)
 {
     this->settled.insert(this->settled.end(), more.begin(), more.end());
 }
 
-void QuotaDesk::sendTo(const NetworkAddress& address, peers::PeerMessage message, Actions& actions) const
+void QuotaManager::sendTo(const NetworkAddress& address, peers::PeerMessage message, Actions& actions) const
 {
-    actions.emplace_back(addressedTo(address, this->options.self.incarnation(), std::move(message)));
+    actions.emplace_back(makeSendToPeer(address, this->options.self.incarnation(), std::move(message)));
 }
 
-CreditGrant QuotaDesk::grantLocally(const Customer& customer, unsigned requests, Milliseconds now)
+CreditGrant QuotaManager::grantLocally(const Customer& customer, unsigned requests, Milliseconds now)
 {
     const CreditGrant grant = this->grants.grant(customer, requests, this->mode(now), now);
-    this->parts.counters->add(DecisionCount::CreditsGranted, grant.amount);
+    this->dependencies.counters->add(DecisionCount::CreditsGranted, grant.amount);
     return grant;
 }
 
-void QuotaDesk::askForCredit(Milliseconds now, Actions& actions)
+void QuotaManager::askForCredit(Milliseconds now, Actions& actions)
 {
-    const std::vector<CreditDesk::Ask> asks = this->desk.takeAsks(now);
+    const std::vector<CreditManager::Query> asks = this->desk.takeQueries(now);
     if (asks.empty())
         return;
     const auto holder = this->tenure.holder();
     const bool isHere = this->mode(now) != GrantMode::None;
     if (!isHere && (!holder || holder->incarnation().name() == this->options.self.incarnation().name()))
-        return this->addSettled(this->desk.nobodyGrants(now));
-    for (const CreditDesk::Ask& ask : asks) {
-        this->parts.counters->add(DecisionCount::CreditsAsked, ask.requests);
-        const Customer* customer = this->parts.services->customers().byName(ask.customer);
+        return this->addSettled(this->desk.refuseAllWaiting(now));
+    for (const CreditManager::Query& ask : asks) {
+        this->dependencies.counters->add(DecisionCount::CreditsAsked, ask.requests);
+        const Customer* customer = this->dependencies.services->customers().byName(ask.customer);
         if (isHere && customer) {
             this->addSettled(this->desk.answered({ .number = ask.number,
                                                      .customer = ask.customer,
@@ -138,12 +138,12 @@
     }
 }
 
-void QuotaDesk::handleAsk(const peers::CreditAsk& ask, Milliseconds now, Actions& actions)
+void QuotaManager::handleAsk(const peers::CreditAsk& ask, Milliseconds now, Actions& actions)
 {
     const auto address = unpackNetworkAddress(ask.reply_to());
     if (!address)
-        return this->parts.counters->add(DecisionCount::PeerMessagesRefused);
-    const Customer* customer = this->parts.services->customers().byName(ask.customer());
+        return this->dependencies.counters->add(DecisionCount::PeerMessagesRefused);
+    const Customer* customer = this->dependencies.services->customers().byName(ask.customer());
     const bool isGranting = this->mode(now) != GrantMode::None;
     CreditGrant grant;
     if (isGranting && customer)
@@ -159,10 +159,10 @@
     this->sendTo(*address, std::move(message), actions);
 }
 
-void QuotaDesk::receive(const peers::PeerMessage& message, Milliseconds now, Actions& actions)
+void QuotaManager::receive(const peers::PeerMessage& message, Milliseconds now, Actions& actions)
 {
     if (message.version() != PeerProtocolVersion)
-        return this->parts.counters->add(DecisionCount::PeerMessagesRefused);
+        return this->dependencies.counters->add(DecisionCount::PeerMessagesRefused);
     if (message.has_credit_ask())
         return this->handleAsk(message.credit_ask(), now, actions);
     const peers::CreditAnswer& answer = message.credit_answer();
@@ -174,19 +174,19 @@
         now));
 }
 
-std::optional<StoreRequest> QuotaDesk::nextCall(bool isStopping, Milliseconds now)
+std::optional<StoreRequest> QuotaManager::nextStoreCall(bool isStopping, Milliseconds now)
 {
-    const auto heard = [this](const std::string& name) -> std::optional<GrantorTenure::Heard> {
-        const KnownMember* known = this->parts.news->memberNamed(name);
+    const auto heard = [this](const std::string& name) -> std::optional<CreditGrantorLease::Heard> {
+        const KnownMember* known = this->dependencies.news->findMember(name);
         if (!known)
             return std::nullopt;
-        return GrantorTenure::Heard{ .member = known->member, .at = known->heardAt };
+        return CreditGrantorLease::Heard{ .member = known->member, .at = known->heardAt };
     };
-    auto call = this->tenure.next({ .stored = this->parts.store->view().find(GrantorKey),
-                                      .leads = this->parts.news->leads(now),
-                                      .isWatching = this->parts.store->isWatching(),
-                                      .isNeeded = this->parts.services->hasLimitedCustomers() && !isStopping,
-                                      .isSilent = this->desk.isSilent(now),
+    auto call = this->tenure.next({ .stored = this->dependencies.store->view().find(GrantorKey),
+                                      .leads = this->dependencies.news->isLeadingWatcher(now),
+                                      .isWatching = this->dependencies.store->isWatching(),
+                                      .isNeeded = this->dependencies.services->hasLimitedCustomers() && !isStopping,
+                                      .isSilent = this->desk.isGrantorUnresponsive(now),
                                       .heard = heard },
         now);
     if (const auto begun = this->tenure.takeBegun())
--- a/Source/Node/QuotaDesk.h
+++ b/Source/Node/QuotaManager.h
@@ -6,10 +6,10 @@
 #include "Node/Actions.h"
 #include "Node/RequestState.h"
 #include "Node/ServiceTable.h"
-#include "Node/StoreKeeper.h"
-#include "Quotas/CreditDesk.h"
-#include "Quotas/CreditGrants.h"
-#include "Quotas/GrantorTenure.h"
+#include "Node/StoreSynchronizer.h"
+#include "Quotas/CreditGrantorLease.h"
+#include "Quotas/CreditIssuer.h"
+#include "Quotas/CreditManager.h"
 
 #include <cstddef>
 #include <functional>
@@ -18,18 +18,18 @@
 
 namespace burlreach {
 
-class NewsExchange;
+class GossipExchange;
 
 /**
  * Enforces customers' request quotas across the whole fleet.
  *
- * A request of a limited customer needs credit. CreditDesk collects the credit
+ * A request of a limited customer needs credit. CreditManager collects the credit
  * that this instance needs and asks the instance named as grantor in the store.
- * GrantorTenure decides whether this instance is the grantor, and CreditGrants
+ * CreditGrantorLease decides whether this instance is the grantor, and CreditIssuer
  * limits what it grants. This class connects the three and sends the messages
  * between instances.
  */
-class QuotaDesk {
+class QuotaManager {
 public:
     struct Options {
         peers::Member self;
@@ -37,16 +37,16 @@
     };
 
     /** All must outlive this object. */
-    struct Parts {
+    struct Dependencies {
         const ServiceTable* services = nullptr;
-        const StoreKeeper* store = nullptr;
-        const NewsExchange* news = nullptr;
+        const StoreSynchronizer* store = nullptr;
+        const GossipExchange* news = nullptr;
         StoreCallNumbers* storeCalls = nullptr;
         Random* random = nullptr;
         DecisionCounters* counters = nullptr;
     };
 
-    QuotaDesk(const Options& options, Parts parts);
+    QuotaManager(const Options& options, Dependencies parts);
 
     /** Requests credit for a new request; an awaited decision is returned later by takeSettled(). */
     CreditDecision requestCredit(RequestState& request, Milliseconds now);
@@ -57,7 +57,7 @@
     /** Asks the grantor for outstanding credit; to be called after new requests. */
     void askForCredit(Milliseconds now, Actions& actions);
     /** The decisions made since the last call of this function. */
-    std::vector<CreditDesk::Settled> takeSettled() { return std::exchange(this->settled, {}); }
+    std::vector<CreditManager::DecidedRequest> takeSettled() { return std::exchange(this->settled, {}); }
 
     void receive(const peers::PeerMessage& message, Milliseconds now, Actions& actions);
     void tick(Milliseconds now) { this->addSettled(this->desk.tick(now)); }
@@ -66,7 +66,7 @@
     /** Sets the minimum size of the fleet; empty while it is not known. */
     void setInstances(std::optional<std::size_t> count) { this->desk.setInstances(count); }
     /** The store call that claims or releases the grantor role for this instance, if one is needed. */
-    std::optional<StoreRequest> nextCall(bool isStopping, Milliseconds now);
+    std::optional<StoreRequest> nextStoreCall(bool isStopping, Milliseconds now);
     bool answered(const StoreAnswer& answer, Milliseconds now) { return this->tenure.answered(answer, now); }
     std::optional<StoreItem> takeWritten() { return this->tenure.takeWritten(); }
     Milliseconds nextControlDue() const { return this->tenure.nextDue(); }
@@ -78,15 +78,15 @@
     const Customer* customerOf(const RequestState& request) const;
     CreditGrant grantLocally(const Customer& customer, unsigned requests, Milliseconds now);
     void handleAsk(const peers::CreditAsk& ask, Milliseconds now, Actions& actions);
-    void addSettled(std::vector<CreditDesk::Settled> more);
+    void addSettled(std::vector<CreditManager::DecidedRequest> more);
     void sendTo(const NetworkAddress& address, peers::PeerMessage message, Actions& actions) const;
 
     Options options;
-    Parts parts;
-    CreditDesk desk;
-    CreditGrants grants;
-    GrantorTenure tenure;
-    std::vector<CreditDesk::Settled> settled;
+    Dependencies dependencies;
+    CreditManager desk;
+    CreditIssuer grants;
+    CreditGrantorLease tenure;
+    std::vector<CreditManager::DecidedRequest> settled;
 };
 
 }
--- a/Source/Node/RefusalRules.cpp
+++ b/Source/Node/RefusalRules.cpp
@@ -1,21 +1,21 @@
 #include "Node/RefusalRules.h"
 
-#include "Admission/ComeBackTime.h"
+#include "Admission/RetryAfterDelay.h"
 
 #include <algorithm>
 
 namespace burlreach {
 
-std::optional<RefusalReason> immediateRefusal(const RequestState& request, NoChoice choice, Milliseconds now)
+std::optional<RefusalReason> immediateRefusal(const RequestState& request, NoServerReason choice, Milliseconds now)
 {
     const ServicePool& pool = request.service->pool;
     if (pool.isEmptied())
         return RefusalReason::DataCentreEmptied;
-    if (choice == NoChoice::AllLeave)
+    if (choice == NoServerReason::AllLeaving)
         return RefusalReason::NoBackendServer;
-    if (choice == NoChoice::Paused && pool.pauseEnd(now) >= request.waitUntil)
+    if (choice == NoServerReason::Paused && pool.pauseEnd(now) >= request.waitUntil)
         return RefusalReason::BackendServersPaused;
-    if (choice == NoChoice::Limited && pool.nextPermit(now) >= request.waitUntil)
+    if (choice == NoServerReason::Limited && pool.nextPermit(now) >= request.waitUntil)
         return RefusalReason::BackendServersLimited;
     return std::nullopt;
 }
@@ -44,17 +44,17 @@
 
 bool mayPassErrorAnswer(const Route& route, const AttemptEnd& end)
 {
-    return !end.isPromise || route.repeat == Repeat::MayRepeat;
+    return !end.claimsNotRun || route.repeat == Repeat::MayRepeat;
 }
 
 Milliseconds retryAfterFor(const RequestState& request, RefusalReason reason, double random, Milliseconds now)
 {
-    const Milliseconds usual = comeBackAfter(reason, request.route->targetLatency, random);
+    const Milliseconds usual = computeRetryAfter(reason, request.route->targetLatency, random);
     if (!request.service)
         return usual;
     const ServicePool& pool = request.service->pool;
     const Milliseconds left = std::max(pool.pauseEnd(now), pool.nextPermit(now)) - now;
-    return left.count > 0 ? std::max(usual, comeBackAfterPause(left, random)) : usual;
+    return left.count > 0 ? std::max(usual, computeRetryAfterForPause(left, random)) : usual;
 }
 
 }
--- a/Source/Node/RefusalRules.h
+++ b/Source/Node/RefusalRules.h
@@ -12,7 +12,7 @@
  * queueing it, because no server can become available while it may wait.
  * Empty when waiting may help.
  */
-std::optional<RefusalReason> immediateRefusal(const RequestState& request, NoChoice choice, Milliseconds now);
+std::optional<RefusalReason> immediateRefusal(const RequestState& request, NoServerReason choice, Milliseconds now);
 
 /** The reason to refuse a request whose waiting time in the queue is over. */
 RefusalReason refusalAfterWaiting(const RequestState& request);
