--- a/Source/Node/RequestFlow.cpp
+++ b/Source/Node/RequestFlow.cpp
@@ -1,6 +1,6 @@
 #include "Node/RequestFlow.h"
 
-#include "Admission/ComeBackTime.h"
+#include "Admission/RetryAfterDelay.h"
 #include "Node/RefusalRules.h"
 #include "Node/RequestRecords.h"
 
@@ -22,9 +22,9 @@
 
 }
 
-RequestFlow::RequestFlow(Options givenOptions, Parts givenParts)
+RequestFlow::RequestFlow(Options givenOptions, Dependencies givenParts)
     : options(std::move(givenOptions))
-    , parts(givenParts)
+    , dependencies(givenParts)
     , chooser(
           { .dataCentre = this->options.dataCentre, .probes = this->options.probes, .search = this->options.search },
           { .probes = givenParts.probes, .random = givenParts.random, .counters = givenParts.counters })
@@ -42,12 +42,12 @@
 
 void RequestFlow::arrived(const RequestArrived& event, Milliseconds now, Actions& actions)
 {
-    this->parts.counters->add(DecisionCount::RequestsArrived);
+    this->dependencies.counters->add(DecisionCount::RequestsArrived);
     // Until the store has been read in full, a single change received by gossip may be all that is known, and others
     // may be missing, for example that a data centre is emptied.
-    if (!this->parts.services->isConfigured() || !this->parts.store->view().revision())
+    if (!this->dependencies.services->isConfigured() || !this->dependencies.store->view().revision())
         return this->refuseUnrouted(event, RefusalReason::NotReady, actions);
-    auto route = this->parts.services->route(event.host, event.method, event.path);
+    auto route = this->dependencies.services->route(event.host, event.method, event.path);
     if (!route)
         return this->refuseUnrouted(event, RefusalReason::NoRoute, actions);
     RequestState& request = this->open(event, std::move(route), now);
@@ -63,17 +63,17 @@
         return this->refuse(request, RefusalReason::QueueFull, now, actions);
     request.service->retryBudget.firstAttempt(now);
     this->classifyCaller(request);
-    this->handleCreditDecision(request, this->parts.quotas->requestCredit(request, now), now, actions);
-    this->parts.quotas->askForCredit(now, actions);
+    this->handleCreditDecision(request, this->dependencies.quotas->requestCredit(request, now), now, actions);
+    this->dependencies.quotas->askForCredit(now, actions);
     this->creditDecided(now, actions);
 }
 
 std::optional<RefusalReason> RequestFlow::checkKey(RequestState& request) const
 {
-    const std::uint64_t present = this->parts.services->routingNumber();
+    const std::uint64_t present = this->dependencies.services->routingGeneration();
     if (request.identity.configurationNumber != present) {
-        request.identity
-            = CustomerGate::identify(this->parts.services->customers(), *request.route, request.credential);
+        request.identity = CustomerAuthenticator::identify(
+            this->dependencies.services->customers(), *request.route, request.credential);
         request.identity.configurationNumber = present;
     }
     return request.identity.problem;
@@ -83,9 +83,9 @@
 {
     if (const auto reason = this->checkKey(request))
         return reason;
-    if (this->parts.crashes->isRefused(request, now))
+    if (this->dependencies.crashes->isRefused(request, now))
         return RefusalReason::CrashesBackendServers;
-    if (!this->parts.quotas->ensureCredit(request, now))
+    if (!this->dependencies.quotas->ensureCredit(request, now))
         return RefusalReason::QuotaUnconfirmed;
     return std::nullopt;
 }
@@ -100,17 +100,17 @@
         request.phase = RequestPhase::AwaitingCredit;
         return;
     case CreditDecision::Outcome::Exhausted:
-        request.comeBackAfter = decision.comeBackAfter;
+        request.retryAfter = decision.retryAfter;
         return this->refuse(request, RefusalReason::QuotaExceeded, now, actions);
     case CreditDecision::Outcome::Unconfirmed:
-        request.comeBackAfter = decision.comeBackAfter;
+        request.retryAfter = decision.retryAfter;
         return this->refuse(request, RefusalReason::QuotaUnconfirmed, now, actions);
     }
 }
 
 void RequestFlow::creditDecided(Milliseconds now, Actions& actions)
 {
-    for (const CreditDesk::Settled& item : this->parts.quotas->takeSettled()) {
+    for (const CreditManager::DecidedRequest& item : this->dependencies.quotas->takeSettled()) {
         const auto found = this->requests.find(item.request);
         if (found == this->requests.end())
             continue;
@@ -127,8 +127,8 @@
 
 void RequestFlow::startSearch(RequestState& request, Milliseconds now, Actions& actions)
 {
-    request.wantsTarget = this->parts.rollouts->selectTarget(*request.service);
-    this->parts.limits->requestStarted(*request.service, now, actions);
+    request.wantsTarget = this->dependencies.rollouts->selectTarget(*request.service);
+    this->dependencies.limits->requestStarted(*request.service, now, actions);
     if (this->chooser.startSearch(request, now, actions))
         request.phase = RequestPhase::Probing;
     else
@@ -138,26 +138,26 @@
 void RequestFlow::classifyCaller(RequestState& request) const
 {
     ServiceState& service = *request.service;
-    service.lateAsFresh.arrived();
+    service.latePromotions.countArrival();
     if (!request.timeLeft || !this->options.inTimeFirst)
         return;
-    request.spentBefore = service.spentBefore(*request.route, *request.timeLeft);
+    request.spentBefore = service.estimateTimeSpent(*request.route, *request.timeLeft);
     if (!isLateCaller(request.spentBefore, service.expectedTime(*request.route), request.route->targetLatency))
         return;
-    this->parts.counters->add(DecisionCount::LateCallers);
+    this->dependencies.counters->add(DecisionCount::LateCallers);
     // A small share of late requests is queued as if in time, so that none starve during a long overload.
-    request.isLate = !service.lateAsFresh.take();
+    request.isLate = !service.latePromotions.take();
 }
 
 void RequestFlow::refuseUnrouted(const RequestArrived& event, RefusalReason reason, Actions& actions) const
 {
-    this->parts.counters->add(reason);
-    this->parts.counters->add(DecisionCount::RefusedNotRun);
-    actions.emplace_back(recordOfUnrouted(event, reason, this->parts.services->version()));
+    this->dependencies.counters->add(reason);
+    this->dependencies.counters->add(DecisionCount::RefusedNotRun);
+    actions.emplace_back(recordOfUnrouted(event, reason, this->dependencies.services->version()));
     actions.emplace_back(RefuseRequest{ .request = event.request,
         .outcome = RefusedOutcome::NotRun,
         .reason = reason,
-        .comeBackAfter = UsualComeBack });
+        .retryAfter = DefaultRetryAfter });
 }
 
 RequestState& RequestFlow::open(const RequestArrived& event, std::shared_ptr<const Route> route, Milliseconds now)
@@ -170,7 +170,7 @@
     request.caller = event.caller;
     request.credential = event.credential;
     request.timeLeft = event.timeLeft;
-    request.service = this->parts.services->serviceFor(*route);
+    request.service = this->dependencies.services->chooseService(*route);
     request.arrivedAt = now;
     request.deadline = now + std::min(event.timeLeft.value_or(Never), route->timeout);
     request.waitUntil = now + route->targetLatency * this->options.maxWaitShare;
@@ -178,7 +178,7 @@
     return request;
 }
 
-void RequestFlow::figuresCame(const BackendServerState& server, Milliseconds now, Actions& actions)
+void RequestFlow::loadReportArrived(const BackendServerState& server, Milliseconds now, Actions& actions)
 {
     std::vector<RequestNumber> ready;
     std::vector<std::shared_ptr<ServiceState>> waiting;
@@ -203,7 +203,7 @@
 void RequestFlow::enqueue(RequestState& request, Milliseconds now, Actions& actions)
 {
     request.phase = RequestPhase::Waiting;
-    request.search.asked.clear();
+    request.search.awaitedServers.clear();
     const std::shared_ptr<ServiceState> service = request.service;
     service->queue.push(queueRank(request), request.number);
     this->dispatchQueue(*service, now, actions);
@@ -227,8 +227,8 @@
             this->refuse(request, *reason, now, actions);
             continue;
         }
-        Choice choice = this->chooser.chooseOrProbe(request, now, actions);
-        if (!choice.server && this->parts.limits->requestQueued(service, request.waitUntil - now, now, actions))
+        ServerChoice choice = this->chooser.chooseOrProbe(request, now, actions);
+        if (!choice.server && this->dependencies.limits->requestQueued(service, request.waitUntil - now, now, actions))
             choice = this->chooser.chooseOrProbe(request, now, actions);
         if (choice.server) {
             this->send(request, std::move(choice.server), now, actions);
@@ -241,7 +241,7 @@
         held.push_back(*number);
         // Slow and Unheard depend on the time left: another request may still be answered in time. With any other
         // reason the rest of the queue cannot be sent either.
-        if (choice.reason != NoChoice::Slow && choice.reason != NoChoice::Unheard)
+        if (choice.reason != NoServerReason::Slow && choice.reason != NoServerReason::NoRecentReport)
             break;
     }
     for (auto number = held.rbegin(); number != held.rend(); ++number)
@@ -253,20 +253,21 @@
 {
     const AttemptNumber attempt = ++this->lastAttempt;
     if (!request.attempts++) {
-        this->parts.counters->add(DecisionCount::FirstAttempts);
-        this->parts.services->sent(*request.route, request.service->description.name);
+        this->dependencies.counters->add(DecisionCount::FirstAttempts);
+        this->dependencies.services->recordSent(*request.route, request.service->description.name);
     }
     ++request.history.mayHaveRun;
-    this->parts.crashes->sent(request, now);
+    this->dependencies.crashes->sent(request, now);
     request.phase = RequestPhase::Sending;
     const bool isHedged = this->options.hedges && !request.hedged && mayHedge(*request.route, request.history);
     request.hedgeAt = isHedged ? now + this->hedgeDelay(request) : Never;
     actions.emplace_back(recordOfSent(request, *server,
-        { .version = this->parts.services->version(), .confirmedAt = this->parts.store->confirmedAt() }, now));
-    const bool isUnhindered = server->saidItIsWell(now);
-    const double taken = server->report().others + static_cast<double>(server->inFlight());
+        { .version = this->dependencies.services->version(), .confirmedAt = this->dependencies.store->confirmedAt() },
+        now));
+    const bool isUnhindered = server->isReportedIdle(now);
+    const double taken = server->report().requestsFromOthers + static_cast<double>(server->inFlight());
     const bool hadRoom = taken < static_cast<double>(server->slots());
-    request.service->pool.sent(*server, *this->parts.random, now);
+    request.service->pool.sent(*server, *this->dependencies.random, now);
     server->sent(attempt, now);
     actions.emplace_back(SendAttempt{ .request = request.number,
         .attempt = attempt,
@@ -275,7 +276,7 @@
         .address = server->record().address,
         .timeLeft = request.deadline - now,
         .mayRepeat = request.route->repeat == Repeat::MayRepeat,
-        .isKeyKept = request.identity.isKeyKept,
+        .withholdsKey = request.identity.isKeyKept,
         .customer = request.identity.customer });
     request.tried.push_back(server);
     request.flights.push_back({ .attempt = attempt,
@@ -312,26 +313,26 @@
     RequestState& request, const Flight& flight, const AttemptEnd& end, Milliseconds now, Actions& actions) const
 {
     BackendServerState& server = *flight.server;
-    this->parts.rollouts->answered(request, flight, end, now);
+    this->dependencies.rollouts->answered(request, flight, end, now);
     request.service->pool.learn(server.ended(flight.attempt, end, request.service->expectedTime(*request.route), now));
     if (isProvedNotRun(end.result)) {
         --request.history.mayHaveRun;
         ++request.history.provedNotRun;
     }
     if (end.result == AttemptResult::Answered) {
-        this->parts.limits->answered(server, flight.sentAt, now, actions);
-        request.service->answered(*request.route, now - flight.sentAt);
+        this->dependencies.limits->answered(server, flight.sentAt, now, actions);
+        request.service->addResponseTime(*request.route, now - flight.sentAt);
         if (flight.isUnhindered)
-            request.service->answeredUnhindered(*request.route, now - flight.sentAt);
+            request.service->addUnloadedTime(*request.route, now - flight.sentAt);
         return;
     }
     if (end.result == AttemptResult::Broken)
-        this->parts.crashes->connectionBroke(request, server, now, actions);
+        this->dependencies.crashes->connectionBroke(request, server, now, actions);
     actions.emplace_back(recordOfFailed(request, flight, end, now));
     if (!request.service->pool.checkOutlier(server, now))
         return;
-    this->parts.counters->add(DecisionCount::Ejections);
-    actions.emplace_back(beliefOf("backend_server_ejected", server.id())
+    this->dependencies.counters->add(DecisionCount::Ejections);
+    actions.emplace_back(knowledgeRecord("backend_server_ejected", server.id())
                              .with("service", request.service->description.name)
                              .with("ejections", std::uint64_t{ server.ejections() })
                              .with("failure_share", server.failureShare(now)));
@@ -349,8 +350,8 @@
         return;
     if (event.end.result != AttemptResult::ErrorAnswer || !mayPassErrorAnswer(*request.route, event.end))
         return this->refuse(request, refusalAfterAttempt(event.end.result), now, actions);
-    this->parts.counters->add(DecisionCount::Answered);
-    actions.emplace_back(PassAnswer{ .request = request.number, .attempt = event.attempt });
+    this->dependencies.counters->add(DecisionCount::Answered);
+    actions.emplace_back(ForwardAnswer{ .request = request.number, .attempt = event.attempt });
     this->close(request, now, actions);
 }
 
@@ -360,21 +361,22 @@
         return false;
     // A retry could crash another server with a request that no server can answer, or the request may no longer be
     // sent, for example because its key was revoked.
-    if (this->parts.crashes->mayBeCrashing(request) || this->reasonNotToSend(request, now)) {
-        this->parts.counters->add(DecisionCount::RetriesWithheld);
+    if (this->dependencies.crashes->mayBeCrashing(request) || this->reasonNotToSend(request, now)) {
+        this->dependencies.counters->add(DecisionCount::RetriesWithheld);
         actions.emplace_back(recordOfRequest(RecordTopic::Refusal, "retry_withheld", request));
         return false;
     }
-    Choice choice = this->chooser.chooseForRetry(request, now);
+    ServerChoice choice = this->chooser.chooseForRetry(request, now);
     request.waitUntil = std::max(request.waitUntil, now + request.route->targetLatency * this->options.maxWaitShare);
-    if (choice.reason == NoChoice::NobodyTakes || (!choice.server && immediateRefusal(request, choice.reason, now)))
+    if (choice.reason == NoServerReason::NoneAvailable
+        || (!choice.server && immediateRefusal(request, choice.reason, now)))
         return false;
     if (needsBudget(end.result) && !request.service->retryBudget.take(now)) {
-        this->parts.counters->add(DecisionCount::RetriesDenied);
+        this->dependencies.counters->add(DecisionCount::RetriesDenied);
         actions.emplace_back(recordOfRequest(RecordTopic::Refusal, "retry_denied", request));
         return false;
     }
-    this->parts.counters->add(retryReasonOf(end.result));
+    this->dependencies.counters->add(retryReasonOf(end.result));
     if (choice.server) {
         this->send(request, std::move(choice.server), now, actions);
         return true;
@@ -393,16 +395,16 @@
 void RequestFlow::hedge(RequestState& request, Milliseconds now, Actions& actions)
 {
     request.hedgeAt = Never;
-    if (!mayHedge(*request.route, request.history) || this->parts.crashes->isSuspect(request)
+    if (!mayHedge(*request.route, request.history) || this->dependencies.crashes->isSuspect(request)
         || this->checkKey(request))
         return;
     // If no server or retry budget is available now, check again later: the first attempt may never be answered, and
     // no other event would trigger a hedge.
     request.hedgeAt = now + std::max(this->hedgeDelay(request), MinHedgeInterval);
-    Choice choice = this->chooser.chooseForHedge(request, now);
+    ServerChoice choice = this->chooser.chooseForHedge(request, now);
     if (!choice.server || !request.service->retryBudget.takeForHedge(now))
         return;
-    this->parts.counters->add(RetryReason::Hedge);
+    this->dependencies.counters->add(RetryReason::Hedge);
     request.hedged = true;
     this->send(request, std::move(choice.server), now, actions);
 }
@@ -410,15 +412,15 @@
 void RequestFlow::passAnswer(
     RequestState& request, const Flight& flight, const AttemptEnd& end, Milliseconds now, Actions& actions)
 {
-    this->parts.counters->add(DecisionCount::Answered);
-    this->parts.crashes->answered(request, now, actions);
+    this->dependencies.counters->add(DecisionCount::Answered);
+    this->dependencies.crashes->answered(request, now, actions);
     const bool isOvertaken = !request.flights.empty() && flight.attempt > request.flights.front().attempt;
     if (isOvertaken) {
-        this->parts.counters->add(DecisionCount::HedgesWon);
-        this->parts.rollouts->overtaken(request, request.flights.front(), now);
+        this->dependencies.counters->add(DecisionCount::HedgesWon);
+        this->dependencies.rollouts->overtaken(request, request.flights.front(), now);
     }
     actions.emplace_back(recordOfAnswered(request, flight, end, now));
-    actions.emplace_back(PassAnswer{ .request = request.number, .attempt = flight.attempt });
+    actions.emplace_back(ForwardAnswer{ .request = request.number, .attempt = flight.attempt });
     this->close(request, now, actions);
 }
 
@@ -426,16 +428,16 @@
 {
     const bool mayHaveRun = request.history.mayHaveRun > 0;
     const RefusedOutcome outcome = mayHaveRun ? RefusedOutcome::Unknown : RefusedOutcome::NotRun;
-    this->parts.counters->add(reason);
-    this->parts.counters->add(mayHaveRun ? DecisionCount::RefusedUnknown : DecisionCount::RefusedNotRun);
+    this->dependencies.counters->add(reason);
+    this->dependencies.counters->add(mayHaveRun ? DecisionCount::RefusedUnknown : DecisionCount::RefusedNotRun);
     const Milliseconds usual = reason == RefusalReason::CrashesBackendServers
-        ? this->parts.crashes->refusedFor(request, now)
-        : retryAfterFor(request, reason, this->parts.random->unit(), now);
-    const Milliseconds comeBack = request.comeBackAfter.value_or(usual);
+        ? this->dependencies.crashes->refusedFor(request, now)
+        : retryAfterFor(request, reason, this->dependencies.random->unit(), now);
+    const Milliseconds comeBack = request.retryAfter.value_or(usual);
     const RefuseRequest refusal{
-        .request = request.number, .outcome = outcome, .reason = reason, .comeBackAfter = comeBack
+        .request = request.number, .outcome = outcome, .reason = reason, .retryAfter = comeBack
     };
-    actions.emplace_back(recordOfRefused(request, refusal, this->parts.services->version(), now));
+    actions.emplace_back(recordOfRefused(request, refusal, this->dependencies.services->version(), now));
     actions.emplace_back(refusal);
     this->close(request, now, actions);
 }
@@ -449,7 +451,7 @@
     }
     if (request.service && request.phase == RequestPhase::Waiting)
         request.service->queue.remove(request.number);
-    this->parts.quotas->requestEnded(request, now);
+    this->dependencies.quotas->requestEnded(request, now);
     this->requests.erase(request.number);
 }
 
@@ -458,7 +460,7 @@
     const auto found = this->requests.find(event.request);
     if (found == this->requests.end())
         return;
-    this->parts.counters->add(DecisionCount::CallersGone);
+    this->dependencies.counters->add(DecisionCount::CallersGone);
     actions.emplace_back(recordOfRequest(RecordTopic::Request, "caller_gone", found->second)
                              .with("attempts", std::uint64_t{ found->second.attempts })
                              .with("took", (now - found->second.arrivedAt).count));
@@ -503,15 +505,15 @@
 
 void RequestFlow::capacityChanged(Milliseconds now, Actions& actions)
 {
-    for (const auto& service : this->parts.services->all())
+    for (const auto& service : this->dependencies.services->all())
         this->dispatchQueue(*service, now, actions);
 }
 
 void RequestFlow::tick(Milliseconds now, Actions& actions)
 {
-    this->parts.quotas->tick(now);
+    this->dependencies.quotas->tick(now);
     this->creditDecided(now, actions);
-    this->parts.quotas->askForCredit(now, actions);
+    this->dependencies.quotas->askForCredit(now, actions);
     this->capacityChanged(now, actions);
     std::vector<RequestNumber> due;
     for (const auto& [number, request] : this->requests) {
@@ -528,7 +530,7 @@
 
 Milliseconds RequestFlow::nextDue(Milliseconds now) const
 {
-    Milliseconds due = this->parts.quotas->nextDue();
+    Milliseconds due = this->dependencies.quotas->nextDue();
     bool anyWaits = false;
     for (const auto& [number, request] : this->requests) {
         due = std::min(due, request.nextDue());
--- a/Source/Node/RequestFlow.h
+++ b/Source/Node/RequestFlow.h
@@ -1,18 +1,18 @@
 #pragma once
 
 #include "Base/Random.h"
-#include "Measurement/ProbeDesk.h"
+#include "Measurement/ProbeManager.h"
 #include "Metrics/DecisionCounters.h"
 #include "Node/Actions.h"
-#include "Node/CrashingRequests.h"
+#include "Node/CrashingRequestDetector.h"
 #include "Node/Events.h"
-#include "Node/QuotaDesk.h"
+#include "Node/QuotaManager.h"
 #include "Node/RequestState.h"
-#include "Node/RolloutDesk.h"
+#include "Node/RolloutManager.h"
 #include "Node/ServerChooser.h"
-#include "Node/ServerLimits.h"
+#include "Node/ServerRateLimiter.h"
 #include "Node/ServiceTable.h"
-#include "Node/StoreKeeper.h"
+#include "Node/StoreSynchronizer.h"
 
 #include <string>
 #include <string_view>
@@ -49,26 +49,26 @@
     };
 
     /** Collaborators; all must outlive this object. */
-    struct Parts {
+    struct Dependencies {
         ServiceTable* services = nullptr;
-        ProbeDesk* probes = nullptr;
+        ProbeManager* probes = nullptr;
         Random* random = nullptr;
         DecisionCounters* counters = nullptr;
-        const StoreKeeper* store = nullptr;
-        CrashingRequests* crashes = nullptr;
-        QuotaDesk* quotas = nullptr;
-        RolloutDesk* rollouts = nullptr;
-        ServerLimits* limits = nullptr;
+        const StoreSynchronizer* store = nullptr;
+        CrashingRequestDetector* crashes = nullptr;
+        QuotaManager* quotas = nullptr;
+        RolloutManager* rollouts = nullptr;
+        ServerRateLimiter* limits = nullptr;
     };
 
-    RequestFlow(Options options, Parts parts);
+    RequestFlow(Options options, Dependencies parts);
 
     void arrived(const RequestArrived& event, Milliseconds now, Actions& actions);
     void callerGone(const CallerGone& event, Milliseconds now, Actions& actions);
     /** Returns the server that the attempt was sent to, or null when the request or the attempt is no longer open. */
     std::shared_ptr<BackendServerState> attemptEnded(const AttemptEnded& event, Milliseconds now, Actions& actions);
     /** A load report of this backend server has arrived, or its probe has failed. */
-    void figuresCame(const BackendServerState& server, Milliseconds now, Actions& actions);
+    void loadReportArrived(const BackendServerState& server, Milliseconds now, Actions& actions);
     /** Continues requests whose quota credit has been granted or refused. */
     void creditDecided(Milliseconds now, Actions& actions);
     /** Backend servers were added or have free capacity again: sends what is queued. */
@@ -113,7 +113,7 @@
     void tickRequest(RequestState& request, Milliseconds now, Actions& actions);
 
     Options options;
-    Parts parts;
+    Dependencies dependencies;
     ServerChooser chooser;
     Requests requests;
     AttemptNumber lastAttempt = 0;
--- a/Source/Node/RequestRecords.cpp
+++ b/Source/Node/RequestRecords.cpp
@@ -31,13 +31,13 @@
 DecisionRecord recordOfSent(
     const RequestState& request, const BackendServerState& server, const KnowledgeUsed& used, Milliseconds now)
 {
-    const LoadReport& report = server.report();
+    const TimedLoadReport& report = server.report();
     return recordOfRequest(RecordTopic::Request, "attempt_sent", request)
         .with("server", server.id())
         .with("attempt", std::uint64_t{ request.attempts })
         .with("in_flight", std::uint64_t{ server.inFlight() })
-        .with("others", report.others)
-        .with("work_percent", std::uint64_t{ report.figures.workPercent })
+        .with("others", report.requestsFromOthers)
+        .with("work_percent", std::uint64_t{ report.load.workPercent })
         .with("figures_age", (now - report.at).count)
         .with("waited", (now - request.arrivedAt).count)
         .with("time_left", (request.deadline - now).count)
@@ -78,7 +78,7 @@
         .with("reason", burlreach::nameOf(refusal.reason))
         .with("attempts", std::uint64_t{ request.attempts })
         .with("took", (now - request.arrivedAt).count)
-        .with("come_back_after", refusal.comeBackAfter.count)
+        .with("come_back_after", refusal.retryAfter.count)
         .with("spent_before", request.spentBefore.count)
         .with("late", request.isLate ? "yes" : "no")
         .with("waiting", std::uint64_t{ request.service ? request.service->queue.size() : 0 })
--- a/Source/Node/RequestState.h
+++ b/Source/Node/RequestState.h
@@ -5,7 +5,7 @@
 #include "Crashes/RequestDigest.h"
 #include "Customers/Credential.h"
 #include "Measurement/ServerSearch.h"
-#include "Node/CustomerGate.h"
+#include "Node/CustomerAuthenticator.h"
 #include "Node/ServiceState.h"
 
 #include <memory>
@@ -56,12 +56,12 @@
     bool wantsTarget = false; // selected for the new version of a roll-out
     std::optional<Milliseconds> timeLeft; // until the caller's deadline, as sent with the request
     std::optional<Milliseconds> creditGrantedAt; // when quota credit was granted; empty if none is needed
-    std::optional<Milliseconds> comeBackAfter; // retry-after time, overrides the default of the refusal reason
+    std::optional<Milliseconds> retryAfter; // retry-after time, overrides the default of the refusal reason
     Milliseconds spentBefore; // by its caller on earlier attempts, estimated from timeLeft
     bool isLate = false; // unlikely to be answered within its target latency
     std::vector<Flight> flights;
     std::vector<std::shared_ptr<BackendServerState>> tried;
-    RequestSearch search;
+    ServerSearchState search;
 
     Milliseconds nextDue() const
     {
@@ -69,7 +69,7 @@
         case RequestPhase::AwaitingCredit:
             return this->deadline;
         case RequestPhase::Probing:
-            return std::min(this->search.askUntil, this->deadline);
+            return std::min(this->search.roundEndsAt, this->deadline);
         case RequestPhase::Waiting:
             return std::min(this->waitUntil, this->deadline);
         case RequestPhase::Sending:
--- a/Source/Node/RolloutDesk.cpp
+++ b/Source/Node/RolloutManager.cpp
@@ -1,6 +1,6 @@
-#include "Node/RolloutDesk.h"
+#include "Node/RolloutManager.h"
 
-#include "Node/NewsExchange.h"
+#include "Node/GossipExchange.h"
 
 #include <algorithm>
 #include <utility>
@@ -33,19 +33,19 @@
 
 }
 
-Milliseconds RolloutDesk::Rollout::elapsed(Milliseconds now) const
+Milliseconds RolloutManager::Rollout::elapsed(Milliseconds now) const
 {
     return this->hasState() ? this->state->elapsed + (now - this->stateSince) : now - this->orderedAt;
 }
 
-RolloutDesk::RolloutDesk(const Options& givenOptions, Parts givenParts)
+RolloutManager::RolloutManager(const Options& givenOptions, Dependencies givenParts)
     : options(givenOptions)
-    , parts(givenParts)
+    , dependencies(givenParts)
     , backoff({})
 {
 }
 
-void RolloutDesk::ordered(const Facts& facts, Milliseconds now, Actions& actions)
+void RolloutManager::updateOrders(const ConfigurationUpdate& facts, Milliseconds now, Actions& actions)
 {
     for (const RolloutOrder& order : facts.rollouts)
         this->applyOrder(order, now, actions);
@@ -57,10 +57,10 @@
         RolloutOrder& order = item.second.order;
         order.isWithdrawn = order.isWithdrawn || !isNamed;
     }
-    this->apply();
+    this->updateVersionRules();
 }
 
-void RolloutDesk::applyOrder(const RolloutOrder& order, Milliseconds now, Actions& actions)
+void RolloutManager::applyOrder(const RolloutOrder& order, Milliseconds now, Actions& actions)
 {
     Rollout& rollout = this->rollouts[order.service];
     if (order.number < rollout.order.number || order == rollout.order)
@@ -72,26 +72,26 @@
         rollout.lastReports.clear();
     }
     rollout.order = order;
-    actions.emplace_back(beliefOf(order.isWithdrawn ? "rollout_withdrawn" : "rollout_ordered", order.service)
+    actions.emplace_back(knowledgeRecord(order.isWithdrawn ? "rollout_withdrawn" : "rollout_ordered", order.service)
                              .with("new_version", order.targetVersion)
                              .with("duration", order.duration.count)
                              .with("order", order.number));
-    this->apply();
+    this->updateVersionRules();
 }
 
-void RolloutDesk::stateChanged(const StoreItem& item, Milliseconds now, Actions& actions)
+void RolloutManager::stateChanged(const StoreItem& item, Milliseconds now, Actions& actions)
 {
     const std::string service = item.key.substr(std::string_view(RolloutPrefix).size());
     Rollout& rollout = this->rollouts[service];
     rollout.state = item.removed ? std::nullopt : readRolloutState(item.value);
     rollout.stateRevision = item.revision;
     rollout.stateSince = now;
-    this->apply();
+    this->updateVersionRules();
     this->scheduleReport(now);
     if (!rollout.state)
         return;
     actions.emplace_back(
-        beliefOf("rollout_state", service)
+        knowledgeRecord("rollout_state", service)
             .with("new_version", rollout.state->targetVersion)
             .with("phase", rollout.state->phase == RolloutPhase::Moved ? "moved" : nameOf(rollout.state->phase))
             .with("share", rollout.state->share)
@@ -99,7 +99,7 @@
             .with("revision", item.revision));
 }
 
-VersionRule RolloutDesk::ruleOf(const Rollout& rollout, const ServiceState& service) const
+VersionRule RolloutManager::ruleOf(const Rollout& rollout, const ServiceState& service) const
 {
     VersionRule rule{ .use = VersionRule::Use::All, .target = rollout.order.targetVersion };
     if (rollout.state && rollout.state->phase == RolloutPhase::RolledBack && !rollout.hasState())
@@ -127,46 +127,47 @@
     return rule;
 }
 
-void RolloutDesk::apply()
+void RolloutManager::updateVersionRules()
 {
     for (const auto& [name, rollout] : this->rollouts) {
-        if (const auto service = this->parts.services->byName(name)) {
+        if (const auto service = this->dependencies.services->byName(name)) {
             const VersionRule rule = this->ruleOf(rollout, *service);
             if (rule == service->pool.versionRule())
                 continue;
             // A random start on each instance keeps the share even when every instance has only a few requests.
-            service->targetTurn = this->parts.random->unit();
+            service->targetShareSum = this->dependencies.random->unit();
             service->pool.setVersionRule(rule);
         }
     }
 }
 
-bool RolloutDesk::selectTarget(ServiceState& service) const
+bool RolloutManager::selectTarget(ServiceState& service) const
 {
     const VersionRule& rule = service.pool.versionRule();
     if (rule.use != VersionRule::Use::Shared)
         return false;
-    service.targetTurn += rule.share;
-    if (service.targetTurn < 1)
+    service.targetShareSum += rule.share;
+    if (service.targetShareSum < 1)
         return false;
-    service.targetTurn -= 1;
+    service.targetShareSum -= 1;
     return true;
 }
 
-void RolloutDesk::answered(const RequestState& request, const Flight& flight, const AttemptEnd& end, Milliseconds now)
+void RolloutManager::answered(
+    const RequestState& request, const Flight& flight, const AttemptEnd& end, Milliseconds now)
 {
     if (countsAsEvidence(end))
         this->count(request, flight, isBad(request, flight, end, now), now);
 }
 
-void RolloutDesk::overtaken(const RequestState& request, const Flight& flight, Milliseconds now)
+void RolloutManager::overtaken(const RequestState& request, const Flight& flight, Milliseconds now)
 {
     // Otherwise hedging would hide a slow version.
     if (isVersionFault(flight, now))
         this->count(request, flight, true, now);
 }
 
-void RolloutDesk::count(const RequestState& request, const Flight& flight, bool isBadAnswer, Milliseconds now)
+void RolloutManager::count(const RequestState& request, const Flight& flight, bool isBadAnswer, Milliseconds now)
 {
     const auto found = this->rollouts.find(request.service->description.name);
     if (found == this->rollouts.end() || !found->second.isOrdered())
@@ -183,14 +184,14 @@
         this->scheduleReport(now);
 }
 
-void RolloutDesk::scheduleReport(Milliseconds now)
+void RolloutManager::scheduleReport(Milliseconds now)
 {
     this->reportAt = std::min(this->reportAt, now + this->options.reportDelay);
 }
 
-std::uint32_t RolloutDesk::inFlightAtOldVersion(const Rollout& rollout, const std::string& service) const
+std::uint32_t RolloutManager::inFlightAtOldVersion(const Rollout& rollout, const std::string& service) const
 {
-    const auto found = this->parts.services->byName(service);
+    const auto found = this->dependencies.services->byName(service);
     if (!found)
         return 0;
     std::size_t sum = 0;
@@ -199,7 +200,7 @@
     return static_cast<std::uint32_t>(sum);
 }
 
-void RolloutDesk::fill(Messages& messages) const
+void RolloutManager::appendEvidence(Messages& messages) const
 {
     for (const auto& [service, rollout] : this->rollouts) {
         const bool isOver = rollout.hasState() && rollout.state->isOver();
@@ -221,7 +222,7 @@
     }
 }
 
-void RolloutDesk::receive(const peers::Incarnation& from, const Messages& messages, Milliseconds now)
+void RolloutManager::receive(const peers::Incarnation& from, const Messages& messages, Milliseconds now)
 {
     for (const peers::RolloutEvidence& message : messages) {
         const auto found = this->rollouts.find(message.service());
@@ -231,13 +232,13 @@
         for (const peers::RouteEvidence& evidence : message.routes())
             counts[evidence.route()] = { .usual = { .all = evidence.usual_answers(), .bad = evidence.usual_bad() },
                 .target = { .all = evidence.target_answers(), .bad = evidence.target_bad() } };
-        found->second.fleet.told(from.name(), from.number(), counts);
+        found->second.fleet.recordCounts(from.name(), from.number(), counts);
         found->second.lastReports[from.name()]
             = { .at = now, .stateRevision = message.state_revision(), .inFlight = message.under_way() };
     }
 }
 
-v1::ShowRolloutAnswer RolloutDesk::show(const std::string& service, Milliseconds now) const
+v1::ShowRolloutAnswer RolloutManager::show(const std::string& service, Milliseconds now) const
 {
     v1::ShowRolloutAnswer answer;
     const auto found = this->rollouts.find(service);
@@ -266,9 +267,9 @@
     return answer;
 }
 
-double RolloutDesk::targetCapacityOf(const Rollout& rollout, const std::string& service) const
+double RolloutManager::targetCapacityOf(const Rollout& rollout, const std::string& service) const
 {
-    const auto found = this->parts.services->byName(service);
+    const auto found = this->dependencies.services->byName(service);
     if (!found)
         return 0;
     double target = 0;
@@ -280,11 +281,11 @@
     return target / std::max(usual, 1.0);
 }
 
-bool RolloutDesk::isOldIdle(const Rollout& rollout, const std::string& service, Milliseconds now) const
+bool RolloutManager::isOldIdle(const Rollout& rollout, const std::string& service, Milliseconds now) const
 {
     if (this->inFlightAtOldVersion(rollout, service))
         return false;
-    const auto& members = this->parts.news->knownInstances();
+    const auto& members = this->dependencies.news->knownInstances();
     return std::all_of(members.begin(), members.end(), [&](const KnownMember& known) {
         if (now - known.heardAt > this->options.silentAfter)
             return true;
@@ -294,11 +295,11 @@
     });
 }
 
-StoreRequest RolloutDesk::write(std::string key, std::string value)
+StoreRequest RolloutManager::write(std::string key, std::string value)
 {
-    const StoreItem* stored = this->parts.store->view().find(key);
+    const StoreItem* stored = this->dependencies.store->view().find(key);
     StoreRequest request;
-    request.number = this->parts.storeCalls->next();
+    request.number = this->dependencies.storeCalls->next();
     request.operation = StoreOperation::Write;
     request.key = key;
     request.value = value;
@@ -309,7 +310,7 @@
     return request;
 }
 
-std::optional<StoreRequest> RolloutDesk::nextCallFor(const std::string& service, Rollout& rollout, Milliseconds now)
+std::optional<StoreRequest> RolloutManager::nextCallFor(const std::string& service, Rollout& rollout, Milliseconds now)
 {
     const std::string key = RolloutPrefix + service;
     if (!rollout.hasState())
@@ -317,12 +318,12 @@
             writeRolloutState({ .targetVersion = rollout.order.targetVersion,
                 .order = rollout.order.number,
                 .elapsed = rollout.elapsed(now) }));
-    const StoreItem status = this->parts.translator->rolloutStatus(service, *rollout.state);
-    const StoreItem* shown = this->parts.store->view().find(status.key);
+    const StoreItem status = this->dependencies.translator->rolloutStatus(service, *rollout.state);
+    const StoreItem* shown = this->dependencies.store->view().find(status.key);
     const bool isShown = status.key.empty() || (shown && !shown->removed && shown->value == status.value);
     if (!isShown)
         return this->write(status.key, status.value);
-    rollout.fleet.told(this->options.self.name(), this->options.self.number(), rollout.own);
+    rollout.fleet.recordCounts(this->options.self.name(), this->options.self.number(), rollout.own);
     const VersionCounts& total = rollout.fleet.total();
     const auto next = RolloutPlan::next(*rollout.state,
         { .elapsed = rollout.elapsed(now),
@@ -335,12 +336,12 @@
     return next ? std::optional(this->write(key, writeRolloutState(*next))) : std::nullopt;
 }
 
-std::optional<StoreRequest> RolloutDesk::nextCall(Milliseconds now)
+std::optional<StoreRequest> RolloutManager::nextStoreCall(Milliseconds now)
 {
     if (this->pending || now < this->nextEvaluationAt)
         return std::nullopt;
     this->nextEvaluationAt = now + this->options.evaluationInterval;
-    if (!this->parts.news->leads(now))
+    if (!this->dependencies.news->isLeadingWatcher(now))
         return std::nullopt;
     for (auto& [service, rollout] : this->rollouts) {
         if (!rollout.isOrdered())
@@ -351,7 +352,7 @@
     return std::nullopt;
 }
 
-bool RolloutDesk::answered(const StoreAnswer& answer, Milliseconds now)
+bool RolloutManager::answered(const StoreAnswer& answer, Milliseconds now)
 {
     if (!this->pending || answer.number != this->pending)
         return false;
@@ -359,7 +360,7 @@
     if (answer.status != StoreStatus::Done) {
         // Before the next try, the watch delivers the current item: after a conflict another instance's, after a lost
         // answer possibly the one written here.
-        this->nextEvaluationAt = now + this->backoff.next(*this->parts.random);
+        this->nextEvaluationAt = now + this->backoff.next(*this->dependencies.random);
         return true;
     }
     this->backoff.reset();
@@ -369,13 +370,13 @@
     return true;
 }
 
-Milliseconds RolloutDesk::nextDue() const
+Milliseconds RolloutManager::nextDue() const
 {
     const bool anyRunning = std::any_of(this->rollouts.begin(), this->rollouts.end(), [](const auto& item) {
         const Rollout& rollout = item.second;
         return rollout.isOrdered() && !(rollout.hasState() && rollout.state->isOver());
     });
-    const bool mayWrite = anyRunning && this->parts.store->isWatching() && !this->pending;
+    const bool mayWrite = anyRunning && this->dependencies.store->isWatching() && !this->pending;
     return std::min(this->reportAt, mayWrite ? this->nextEvaluationAt : Never);
 }
 
--- a/Source/Node/RolloutDesk.h
+++ b/Source/Node/RolloutManager.h
@@ -1,12 +1,12 @@
 #pragma once
 
 #include "Base/Random.h"
-#include "Configuration/FactTranslator.h"
+#include "Configuration/StoreItemTranslator.h"
 #include "Exchange/Backoff.h"
 #include "Node/Actions.h"
 #include "Node/RequestState.h"
 #include "Node/ServiceTable.h"
-#include "Node/StoreKeeper.h"
+#include "Node/StoreSynchronizer.h"
 #include "Rollouts/FleetEvidence.h"
 #include "Rollouts/RolloutPlan.h"
 #include "Store/StoreCallNumbers.h"
@@ -18,7 +18,7 @@
 
 namespace burlreach {
 
-class NewsExchange;
+class GossipExchange;
 
 /**
  * Moves services to new versions as ordered by operators.
@@ -29,7 +29,7 @@
  * writes it to the store, conditionally on the revision that it has read. Every
  * instance applies the last state that it knows to its choice of servers.
  */
-class RolloutDesk {
+class RolloutManager {
 public:
     using Messages = google::protobuf::RepeatedPtrField<peers::RolloutEvidence>;
 
@@ -42,23 +42,23 @@
     };
 
     /** All must outlive this object. */
-    struct Parts {
+    struct Dependencies {
         ServiceTable* services = nullptr;
-        const StoreKeeper* store = nullptr;
-        const NewsExchange* news = nullptr;
-        const FactTranslator* translator = nullptr;
+        const StoreSynchronizer* store = nullptr;
+        const GossipExchange* news = nullptr;
+        const StoreItemTranslator* translator = nullptr;
         StoreCallNumbers* storeCalls = nullptr;
         Random* random = nullptr;
     };
 
-    RolloutDesk(const Options& options, Parts parts);
+    RolloutManager(const Options& options, Dependencies parts);
 
     /** Takes over the operators' orders from a translated store item. */
-    void ordered(const Facts& facts, Milliseconds now, Actions& actions);
+    void updateOrders(const ConfigurationUpdate& facts, Milliseconds now, Actions& actions);
     /** Takes over the state of a roll-out from its store item. */
     void stateChanged(const StoreItem& item, Milliseconds now, Actions& actions);
     /** Updates the version rules of all services; to be called after services or backend servers have changed. */
-    void apply();
+    void updateVersionRules();
 
     /** True when the next request of the service should go to the new version. */
     bool selectTarget(ServiceState& service) const;
@@ -67,14 +67,14 @@
     /** Counts an attempt as bad because its hedge answered first. */
     void overtaken(const RequestState& request, const Flight& flight, Milliseconds now);
 
-    void fill(Messages& messages) const;
+    void appendEvidence(Messages& messages) const;
     void receive(const peers::Incarnation& from, const Messages& messages, Milliseconds now);
     /** When to send this instance's counts to others; Never when none are urgent. */
-    Milliseconds nextTelling() const { return this->reportAt; }
-    void told() { this->reportAt = Never; }
+    Milliseconds nextReportAt() const { return this->reportAt; }
+    void reportSent() { this->reportAt = Never; }
 
     v1::ShowRolloutAnswer show(const std::string& service, Milliseconds now) const;
-    std::optional<StoreRequest> nextCall(Milliseconds now);
+    std::optional<StoreRequest> nextStoreCall(Milliseconds now);
     /** True when the answer belongs to a call of this object. */
     bool answered(const StoreAnswer& answer, Milliseconds now);
     std::optional<StoreItem> takeWritten() { return std::exchange(this->written, std::nullopt); }
@@ -116,7 +116,7 @@
     void scheduleReport(Milliseconds now);
 
     Options options;
-    Parts parts;
+    Dependencies dependencies;
     Backoff backoff;
     std::map<std::string, Rollout> rollouts; // by service
     Milliseconds reportAt = Never;
--- a/Source/Node/ServerChooser.cpp
+++ b/Source/Node/ServerChooser.cpp
@@ -29,9 +29,9 @@
 
 }
 
-ServerChooser::ServerChooser(Options givenOptions, Parts givenParts)
+ServerChooser::ServerChooser(Options givenOptions, Dependencies givenParts)
     : options(std::move(givenOptions))
-    , parts(givenParts)
+    , dependencies(givenParts)
     , search(this->options.search,
           { .probes = givenParts.probes, .random = givenParts.random, .counters = givenParts.counters })
 {
@@ -46,77 +46,79 @@
         .wantsTarget = request.wantsTarget && request.tried.empty() };
 }
 
-ChoiceWish ServerChooser::wishOf(const RequestState& request, Milliseconds now) const
+SelectionCriteria ServerChooser::wishOf(const RequestState& request, Milliseconds now) const
 {
     return { .tried = request.tried,
-        .mayTry = request.route->repeat == Repeat::MayRepeat,
-        .longestWork = this->search.longestWork(request.search, now),
-        .limitShare = request.isLate ? LateLimitShare : 1 };
+        .mayUseTrialServers = request.route->repeat == Repeat::MayRepeat,
+        .maxWorkFactor = this->search.longestWork(request.search, now),
+        .slotShare = request.isLate ? LateLimitShare : 1 };
 }
 
 bool ServerChooser::startSearch(RequestState& request, Milliseconds now, Actions& actions) const
 {
     request.search = this->search.begin({ .target = request.route->targetLatency,
                                             .spent = request.spentBefore,
-                                            .usualTime = request.service->usualTime(*request.route) },
+                                            .usualTime = request.service->unloadedTime(*request.route) },
         now);
     return this->options.probes && this->probeServers(request, now, actions);
 }
 
 bool ServerChooser::isEnough(RequestState& request, const BackendServerState& server, Milliseconds now) const
 {
-    return this->search.isEnough(request.search, server, now);
+    return this->search.isProbingDone(request.search, server, now);
 }
 
 bool ServerChooser::probeServers(RequestState& request, Milliseconds now, Actions& actions) const
 {
     std::vector<Probe> probes;
     const ServiceState& service = *request.service;
-    const bool isAsking
-        = this->search.ask(request.search, service.description, service.pool, this->contextOf(request, now), probes);
+    const bool isAsking = this->search.startRound(
+        request.search, service.description, service.pool, this->contextOf(request, now), probes);
     for (Probe& probe : probes)
         actions.emplace_back(SendProbe{ .probe = std::move(probe) });
     return isAsking;
 }
 
-Choice ServerChooser::chooseOrProbe(RequestState& request, Milliseconds now, Actions& actions) const
+ServerChoice ServerChooser::chooseOrProbe(RequestState& request, Milliseconds now, Actions& actions) const
 {
     const RoutingContext context = this->contextOf(request, now);
     ServicePool& pool = request.service->pool;
-    ChoiceWish wish = this->wishOf(request, now);
-    wish.onlyHeard = this->options.probes && this->search.mayAsk(request.search, now);
-    Choice choice = pool.choose(wish, context, *this->parts.random);
-    const bool mayFindBetter = choice.reason == NoChoice::Slow || choice.reason == NoChoice::Unheard;
-    if (choice.server || !mayFindBetter || this->waitForBetterServer(request, now, actions) || !wish.onlyHeard)
+    SelectionCriteria wish = this->wishOf(request, now);
+    wish.onlyWithRecentReport = this->options.probes && this->search.mayStartRound(request.search, now);
+    ServerChoice choice = pool.choose(wish, context, *this->dependencies.random);
+    const bool mayFindBetter = choice.reason == NoServerReason::Slow || choice.reason == NoServerReason::NoRecentReport;
+    if (choice.server || !mayFindBetter || this->waitForBetterServer(request, now, actions)
+        || !wish.onlyWithRecentReport)
         return choice;
-    wish.onlyHeard = false;
-    return pool.choose(wish, context, *this->parts.random);
+    wish.onlyWithRecentReport = false;
+    return pool.choose(wish, context, *this->dependencies.random);
 }
 
 bool ServerChooser::waitForBetterServer(RequestState& request, Milliseconds now, Actions& actions) const
 {
     // When the hold ends the request is sent to any available server, so it must not be refused before that.
     request.waitUntil = std::max(request.waitUntil, request.search.holdUntil + QueueCheckInterval * 2);
-    const bool isAsking = !request.search.asked.empty() && now < request.search.askUntil;
+    const bool isAsking = !request.search.awaitedServers.empty() && now < request.search.roundEndsAt;
     if (isAsking || !this->options.probes)
         return isAsking;
-    request.search.asked.clear();
+    request.search.awaitedServers.clear();
     return this->probeServers(request, now, actions);
 }
 
-Choice ServerChooser::chooseForRetry(const RequestState& request, Milliseconds now) const
+ServerChoice ServerChooser::chooseForRetry(const RequestState& request, Milliseconds now) const
 {
-    return request.service->pool.choose(this->wishOf(request, now), this->contextOf(request, now), *this->parts.random);
+    return request.service->pool.choose(
+        this->wishOf(request, now), this->contextOf(request, now), *this->dependencies.random);
 }
 
-Choice ServerChooser::chooseForHedge(const RequestState& request, Milliseconds now) const
+ServerChoice ServerChooser::chooseForHedge(const RequestState& request, Milliseconds now) const
 {
     return request.service->pool.choose({ .tried = request.tried,
                                             .onlyUntried = true,
-                                            .mayTry = false,
-                                            .longestWork = ServerSearch::longestWorkInTime(request.search, now),
-                                            .limitShare = HedgeLimitShare },
-        this->contextOf(request, now), *this->parts.random);
+                                            .mayUseTrialServers = false,
+                                            .maxWorkFactor = ServerSearch::longestWorkInTime(request.search, now),
+                                            .slotShare = HedgeLimitShare },
+        this->contextOf(request, now), *this->dependencies.random);
 }
 
 }
--- a/Source/Node/ServerChooser.h
+++ b/Source/Node/ServerChooser.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Base/Random.h"
-#include "Measurement/ProbeDesk.h"
+#include "Measurement/ProbeManager.h"
 #include "Measurement/ServerSearch.h"
 #include "Metrics/DecisionCounters.h"
 #include "Node/Actions.h"
@@ -21,34 +21,34 @@
     };
 
     /** All must outlive this object. */
-    struct Parts {
-        ProbeDesk* probes = nullptr;
+    struct Dependencies {
+        ProbeManager* probes = nullptr;
         Random* random = nullptr;
         DecisionCounters* counters = nullptr;
     };
 
-    ServerChooser(Options options, Parts parts);
+    ServerChooser(Options options, Dependencies parts);
 
     /** Starts the search for a new request; true when load reports are awaited. */
     bool startSearch(RequestState& request, Milliseconds now, Actions& actions) const;
     /** True when the request need not wait for further load reports after this server's report or failed probe. */
     bool isEnough(RequestState& request, const BackendServerState& server, Milliseconds now) const;
     /** For a queued request. If no suitable server is known, probes further servers where that may help. */
-    Choice chooseOrProbe(RequestState& request, Milliseconds now, Actions& actions) const;
+    ServerChoice chooseOrProbe(RequestState& request, Milliseconds now, Actions& actions) const;
     /** For a retry, from the load reports at hand, without probing. */
-    Choice chooseForRetry(const RequestState& request, Milliseconds now) const;
+    ServerChoice chooseForRetry(const RequestState& request, Milliseconds now) const;
     /** For a second attempt while the first is still in flight. */
-    Choice chooseForHedge(const RequestState& request, Milliseconds now) const;
+    ServerChoice chooseForHedge(const RequestState& request, Milliseconds now) const;
 
 private:
     RoutingContext contextOf(const RequestState& request, Milliseconds now) const;
-    ChoiceWish wishOf(const RequestState& request, Milliseconds now) const;
+    SelectionCriteria wishOf(const RequestState& request, Milliseconds now) const;
     bool probeServers(RequestState& request, Milliseconds now, Actions& actions) const;
     /** Keeps the request waiting for a better server; true while probe answers are awaited. */
     bool waitForBetterServer(RequestState& request, Milliseconds now, Actions& actions) const;
 
     Options options;
-    Parts parts;
+    Dependencies dependencies;
     ServerSearch search;
 };
 
--- a/Source/Node/ServerPauses.cpp
+++ b/Source/Node/ServerPauses.cpp
@@ -6,23 +6,23 @@
 
 namespace burlreach {
 
-ServerPauses::ServerPauses(Options givenOptions, Parts givenParts)
+ServerPauses::ServerPauses(Options givenOptions, Dependencies givenParts)
     : options(givenOptions)
-    , parts(givenParts)
+    , dependencies(givenParts)
 {
 }
 
-bool ServerPauses::heard(const ServerNoticed& event, Milliseconds now) const
+bool ServerPauses::handleNotice(const ServerNoticed& event, Milliseconds now) const
 {
     const Milliseconds pause = event.notice.pause;
     if (pause.count <= 0)
         return false;
-    const Milliseconds spread = std::min(pause, this->options.maxSpread) * this->parts.random->unit();
+    const Milliseconds spread = std::min(pause, this->options.maxSpread) * this->dependencies.random->unit();
     const Milliseconds until = now + pause + spread;
     // Stored even if the server has no record at the moment, as the record may come back.
-    if (!this->parts.book->heardPause(event.backendServer, event.life, until, now))
+    if (!this->dependencies.book->recordPause(event.backendServer, event.life, until, now))
         return false;
-    const auto server = this->parts.services->backendServer(event.backendServer);
+    const auto server = this->dependencies.services->backendServer(event.backendServer);
     if (server && server->record().life == event.life)
         server->pauseUntil(until);
     return true;
--- a/Source/Node/ServerPauses.h
+++ b/Source/Node/ServerPauses.h
@@ -3,7 +3,7 @@
 #include "Base/Milliseconds.h"
 #include "Base/Random.h"
 #include "Node/Events.h"
-#include "Routing/NoticeBook.h"
+#include "Routing/NoticeRegistry.h"
 
 namespace burlreach {
 
@@ -26,20 +26,20 @@
     };
 
     /** All must outlive this object. */
-    struct Parts {
-        NoticeBook* book = nullptr;
+    struct Dependencies {
+        NoticeRegistry* book = nullptr;
         const ServiceTable* services = nullptr;
         Random* random = nullptr;
     };
 
-    ServerPauses(Options options, Parts parts);
+    ServerPauses(Options options, Dependencies parts);
 
     /** Handles a pause request; true when the pause ends later than any requested before. */
-    bool heard(const ServerNoticed& event, Milliseconds now) const;
+    bool handleNotice(const ServerNoticed& event, Milliseconds now) const;
 
 private:
     Options options;
-    Parts parts;
+    Dependencies dependencies;
 };
 
 }
--- a/Source/Node/ServerLimits.h
+++ b/Source/Node/ServerRateLimiter.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "Base/DealtBudget.h"
+#include "Base/LocalBudgetShare.h"
 #include "Base/Random.h"
-#include "Limits/LimitBook.h"
+#include "Limits/LimitRegistry.h"
 #include "Limits/PermitSchedule.h"
 #include "Metrics/DecisionCounters.h"
 #include "Node/Actions.h"
@@ -22,7 +22,7 @@
 
 namespace burlreach {
 
-class NewsExchange;
+class GossipExchange;
 class ServiceTable;
 
 /**
@@ -37,7 +37,7 @@
  * A limit ends when a server answers a request sent after the limit became
  * known without stating one.
  */
-class ServerLimits {
+class ServerRateLimiter {
 public:
     using Messages = google::protobuf::RepeatedPtrField<peers::NamedLimit>;
 
@@ -58,18 +58,18 @@
     };
 
     /** All must outlive this object. */
-    struct Parts {
-        LimitBook* book = nullptr;
+    struct Dependencies {
+        LimitRegistry* book = nullptr;
         const ServiceTable* services = nullptr;
-        const NewsExchange* news = nullptr;
+        const GossipExchange* news = nullptr;
         Random* random = nullptr;
         DecisionCounters* counters = nullptr;
     };
 
-    ServerLimits(Options options, Parts parts);
+    ServerRateLimiter(Options options, Dependencies parts);
 
     /** Handles the header fields of a server's answer, which may state a limit. */
-    void heard(const ServerNoticed& event, Milliseconds now, Actions& actions);
+    void handleNotice(const ServerNoticed& event, Milliseconds now, Actions& actions);
     /**
      * A server has answered completely a request sent at sentAt. Called after heard() for the same answer, so a limit
      * that was not stated again has ended.
@@ -89,12 +89,12 @@
 
     void receive(const peers::PeerMessage& message, Milliseconds now, Actions& actions);
     /** Appends the recent limit statements: all known ones, or only those received from servers by this instance. */
-    void fill(Messages& messages, bool onlyHeardHere, Milliseconds now) const;
+    void appendLimitReports(Messages& messages, bool onlyHeardHere, Milliseconds now) const;
     /** Merges statements from another instance; isNews: with a gossip update, which goes to all instances. */
     void receive(const Messages& messages, bool isNews, Milliseconds now, Actions& actions);
     /** When to report new statements to other instances; Never when there are none. */
-    Milliseconds nextTelling() const { return this->unreported.empty() ? Never : this->reportAt; }
-    void told() { this->unreported.clear(); }
+    Milliseconds nextReportAt() const { return this->unreported.empty() ? Never : this->reportAt; }
+    void reportSent() { this->unreported.clear(); }
     /** True once after a change that may allow queued requests to be sent or refused. */
     bool takeChanged() { return std::exchange(this->changed, false); }
 
@@ -115,7 +115,7 @@
     /** The service's servers for which a permit may be requested; onlyOld: only those not confirmed for long. */
     std::vector<BackendServerState*> serversToAsk(const ServiceState& service, bool onlyOld, Milliseconds now) const;
     bool ask(BackendServerState& server, Milliseconds patience, Milliseconds now, Actions& actions);
-    void askGrantingInstance(const peers::Member& granting, BackendServerState& server, const LimitStatement& statement,
+    void askGrantingInstance(const peers::Member& granting, BackendServerState& server, const LimitReport& statement,
         Milliseconds patience, Milliseconds now, Actions& actions);
     /** Takes a permit from this instance's share of the limit, without asking the granting instance. */
     void takeSharedPermit(BackendServerState& server, Milliseconds now);
@@ -125,15 +125,14 @@
     bool mayGrant(Milliseconds now);
     void handleAsk(const peers::PermitAsk& ask, Milliseconds now, Actions& actions);
     void answered(const peers::PermitAnswer& answer, Milliseconds now, Actions& actions);
-    peers::NamedLimit messageOf(
-        const std::string& backendServer, const LimitStatement& statement, Milliseconds now) const;
+    peers::NamedLimit messageOf(const std::string& backendServer, const LimitReport& statement, Milliseconds now) const;
     void mergeStatement(const peers::NamedLimit& message, Origin origin, Milliseconds now, Actions& actions);
     std::shared_ptr<BackendServerState> serverOf(const std::string& id, std::uint64_t life) const;
 
     Options options;
-    Parts parts;
+    Dependencies dependencies;
     PermitSchedule schedule;
-    DealtBudget dealt;
+    LocalBudgetShare dealt;
     std::optional<std::size_t> instances; // lower bound of the fleet's size
     Milliseconds grantsFrom = Never; // Never: another instance grants
     std::uint64_t lastAsk = 0;
--- a/Source/Node/ServiceState.cpp
+++ b/Source/Node/ServiceState.cpp
@@ -48,22 +48,22 @@
     return meanOf(this->meanTimes, route);
 }
 
-Milliseconds ServiceState::usualTime(const Route& route) const
+Milliseconds ServiceState::unloadedTime(const Route& route) const
 {
     return meanOf(this->unloadedTimes, route);
 }
 
-Milliseconds ServiceState::spentBefore(const Route& route, Milliseconds timeLeft)
+Milliseconds ServiceState::estimateTimeSpent(const Route& route, Milliseconds timeLeft)
 {
     return this->callerPatience[route.name].spentBefore(timeLeft);
 }
 
-void ServiceState::answered(const Route& route, Milliseconds took)
+void ServiceState::addResponseTime(const Route& route, Milliseconds took)
 {
     addTo(this->meanTimes, route, took);
 }
 
-void ServiceState::answeredUnhindered(const Route& route, Milliseconds took)
+void ServiceState::addUnloadedTime(const Route& route, Milliseconds took)
 {
     addTo(this->unloadedTimes, route, took);
 }
--- a/Source/Node/ServiceState.h
+++ b/Source/Node/ServiceState.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "Admission/CallerPatience.h"
-#include "Admission/TokenShare.h"
+#include "Admission/ArrivalTokenBucket.h"
+#include "Admission/CallerWaitEstimator.h"
 #include "Admission/WaitingQueue.h"
 #include "Attempts/RetryBudget.h"
 #include "Configuration/RoutingConfiguration.h"
@@ -30,28 +30,28 @@
     void configure(const ServiceDescription& description, const FleetCount& fleet);
     /** Mean response time of the route; estimated from its target latency before the first answer. */
     Milliseconds expectedTime(const Route& route) const;
-    void answered(const Route& route, Milliseconds took);
+    void addResponseTime(const Route& route, Milliseconds took);
     /** Mean response time of servers with free slots that were not slow; estimated as above before the first answer. */
-    Milliseconds usualTime(const Route& route) const;
-    void answeredUnhindered(const Route& route, Milliseconds took);
+    Milliseconds unloadedTime(const Route& route) const;
+    void addUnloadedTime(const Route& route, Milliseconds took);
     /** Estimates how long a caller with this much time left has already been retrying. */
-    Milliseconds spentBefore(const Route& route, Milliseconds timeLeft);
+    Milliseconds estimateTimeSpent(const Route& route, Milliseconds timeLeft);
 
     ServiceDescription description;
     ServicePool pool;
     WaitingQueue queue;
-    double targetTurn = 0; // at 1, the next request goes to the version under rollout
+    double targetShareSum = 0; // at 1, the next request goes to the version under rollout
     RetryBudget retryBudget;
     /**
      * Late callers that are queued as if they were on time, so that none waits for ever. A larger share would delay
      * more of the callers that can still be answered in time.
      */
-    TokenShare lateAsFresh{ { .share = 0.02, .most = 2 } };
+    ArrivalTokenBucket latePromotions{ { .share = 0.02, .most = 2 } };
 
 private:
     std::unordered_map<std::string, Milliseconds> meanTimes; // by route
     std::unordered_map<std::string, Milliseconds> unloadedTimes; // by route
-    std::unordered_map<std::string, CallerPatience> callerPatience; // by route
+    std::unordered_map<std::string, CallerWaitEstimator> callerPatience; // by route
 };
 
 }
--- a/Source/Node/ServiceTable.cpp
+++ b/Source/Node/ServiceTable.cpp
@@ -103,7 +103,7 @@
     // The server's notices and limit outlive its record, which may have been missing for a moment.
     const auto* limit = this->options.limits ? this->options.limits->find(record.id, record.life) : nullptr;
     if (limit && limit->perSecond)
-        server->permits().limit(limit->at);
+        server->permits().setLimited(limit->at);
     if (!this->options.notices)
         return;
     if (this->options.notices->isLeaving(record.id, record.life))
@@ -127,13 +127,13 @@
             server->setEmptied(order.emptied);
             // Servers that were idle start cold; a later answer with the server's own estimate replaces this one.
             if (!order.emptied && cold.count > 0)
-                server->coldFor(cold, now);
+                server->setColdFor(cold, now);
         }
     }
     changes.push_back(order);
 }
 
-std::vector<DataCentreOrder> ServiceTable::setDataCentres(const Facts& facts, Milliseconds now)
+std::vector<DataCentreOrder> ServiceTable::setDataCentres(const ConfigurationUpdate& facts, Milliseconds now)
 {
     std::vector<DataCentreOrder> changes;
     for (const DataCentreOrder& order : facts.dataCentres)
@@ -197,7 +197,7 @@
 }
 
 std::vector<BackendServerChange> ServiceTable::setBackendServers(
-    const Facts& facts, Milliseconds lapseDeadline, Milliseconds now)
+    const ConfigurationUpdate& facts, Milliseconds lapseDeadline, Milliseconds now)
 {
     std::vector<BackendServerChange> changes;
     for (const BackendServerRecord& record : facts.backendServers)
@@ -229,17 +229,17 @@
     return this->routing->routes.find(host, method, path);
 }
 
-std::shared_ptr<ServiceState> ServiceTable::serviceFor(const Route& route)
+std::shared_ptr<ServiceState> ServiceTable::chooseService(const Route& route)
 {
     if (route.services.size() == 1)
         return this->byName(route.services.front().service);
     auto turn = this->turns.find(route.name);
     if (turn == this->turns.end() || !turn->second.isFor(route.services))
-        turn = this->turns.insert_or_assign(route.name, WeightedTurn(route.services, this->random->unit())).first;
+        turn = this->turns.insert_or_assign(route.name, WeightedRoundRobin(route.services, this->random->unit())).first;
     return this->byName(turn->second.next());
 }
 
-void ServiceTable::sent(const Route& route, const std::string& service)
+void ServiceTable::recordSent(const Route& route, const std::string& service)
 {
     // The request may still use an earlier version of the route, with other weights.
     const auto turn = this->turns.find(route.name);
--- a/Source/Node/ServiceTable.h
+++ b/Source/Node/ServiceTable.h
@@ -2,14 +2,14 @@
 
 #include "Attempts/RetryBudget.h"
 #include "Base/Random.h"
-#include "Configuration/FactTranslator.h"
-#include "Limits/LimitBook.h"
+#include "Configuration/StoreItemTranslator.h"
+#include "Limits/LimitRegistry.h"
 #include "Node/BackendServerChange.h"
 #include "Node/PolicyFactory.h"
 #include "Node/ServiceState.h"
 #include "Node/TranslatedItem.h"
-#include "Routing/NoticeBook.h"
-#include "Routing/WeightedTurn.h"
+#include "Routing/NoticeRegistry.h"
+#include "Routing/WeightedRoundRobin.h"
 
 #include <cstddef>
 #include <map>
@@ -29,8 +29,8 @@
     struct Options {
         std::shared_ptr<const PolicyFactory> policies;
         RetryLimits retries;
-        const NoticeBook* notices = nullptr; // must outlive the table
-        const LimitBook* limits = nullptr; // must outlive the table
+        const NoticeRegistry* notices = nullptr; // must outlive the table
+        const LimitRegistry* limits = nullptr; // must outlive the table
     };
 
     ServiceTable(Options options, Random& random);
@@ -38,13 +38,13 @@
     void setRouting(std::shared_ptr<const PreparedRouting> next);
     /** Applies changed records. A removed record is kept as lapsed until `lapseDeadline`, if that is in the future. */
     std::vector<BackendServerChange> setBackendServers(
-        const Facts& facts, Milliseconds lapseDeadline, Milliseconds now);
+        const ConfigurationUpdate& facts, Milliseconds lapseDeadline, Milliseconds now);
     /** Removes lapsed records that were not written again in time. */
     std::vector<BackendServerChange> removeExpiredLapses(Milliseconds now);
     /** When the next lapsed record is due for removeExpiredLapses(); Never when there is none. */
     Milliseconds nextLapseExpiry() const;
     /** Applies orders to empty data centres or to use them again; returns those that changed something. */
-    std::vector<DataCentreOrder> setDataCentres(const Facts& facts, Milliseconds now);
+    std::vector<DataCentreOrder> setDataCentres(const ConfigurationUpdate& facts, Milliseconds now);
     void setInstances(const FleetCount& count);
 
     /** False before the first configuration. */
@@ -54,15 +54,15 @@
     const CustomerTable& customers() const { return this->routing->customers; }
     bool hasLimitedCustomers() const { return this->hasCustomerLimits; }
     /** Counts the configurations applied on this instance, so it identifies the one in force. */
-    std::uint64_t routingNumber() const { return this->routingCount; }
+    std::uint64_t routingGeneration() const { return this->routingCount; }
     std::shared_ptr<const Route> route(std::string_view host, std::string_view method, std::string_view path) const;
     /**
      * The service for the route's next request, chosen by weight when the route has several; null when the service
      * is unknown.
      */
-    std::shared_ptr<ServiceState> serviceFor(const Route& route);
+    std::shared_ptr<ServiceState> chooseService(const Route& route);
     /** Records that a request of the route was sent to the service that serviceFor() returned. */
-    void sent(const Route& route, const std::string& service);
+    void recordSent(const Route& route, const std::string& service);
     std::shared_ptr<ServiceState> byName(std::string_view name) const;
     std::shared_ptr<BackendServerState> backendServer(std::string_view id) const;
     std::size_t backendServers() const { return this->records.size(); }
@@ -98,7 +98,7 @@
     std::vector<std::shared_ptr<ServiceState>> services;
     std::unordered_map<std::string, std::shared_ptr<ServiceState>> byNames;
     std::map<std::string, BackendServerRecord, std::less<>> records;
-    std::unordered_map<std::string, WeightedTurn> turns; // weighted selection of a service, by route
+    std::unordered_map<std::string, WeightedRoundRobin> turns; // weighted selection of a service, by route
     std::set<std::string> emptiedCentres; // names
     std::map<std::string, Milliseconds> lapsedUntil; // until when the removed record is kept, by id
 };
--- a/Source/Node/StoreKeeper.cpp
+++ b/Source/Node/StoreSynchronizer.cpp
@@ -1,4 +1,4 @@
-#include "Node/StoreKeeper.h"
+#include "Node/StoreSynchronizer.h"
 
 #include "Store/ValuePacking.h"
 
@@ -42,23 +42,23 @@
 
 }
 
-StoreKeeper::StoreKeeper(StoreReader::Options options, StoreListener& givenListener, StoreCallNumbers& numbers,
-    Random& random, DecisionCounters& givenCounters)
+StoreSynchronizer::StoreSynchronizer(StoreReader::Options options, StoreListener& givenListener,
+    StoreCallNumbers& numbers, Random& random, DecisionCounters& givenCounters)
     : reader(std::move(options), this->storeView, numbers, random)
     , listener(&givenListener)
     , counters(&givenCounters)
 {
 }
 
-void StoreKeeper::callIfDue(bool shouldWatch, Milliseconds now, Actions& actions)
+void StoreSynchronizer::callIfDue(bool shouldWatch, Milliseconds now, Actions& actions)
 {
     if (auto request = this->reader.next(now, shouldWatch))
-        actions.emplace_back(AskStore{ .request = std::move(*request) });
+        actions.emplace_back(CallStore{ .request = std::move(*request) });
 }
 
-bool StoreKeeper::answered(const StoreAnswer& answer, Milliseconds now, Actions& actions)
+bool StoreSynchronizer::answered(const StoreAnswer& answer, Milliseconds now, Actions& actions)
 {
-    const StoreNews news = this->reader.answered(answer, now);
+    const StoreUpdate news = this->reader.answered(answer, now);
     this->recordCallResult(answer, news.isFailure, now, actions);
     if (news.isConfirmed)
         this->markConfirmed(news.confirmedAt, now);
@@ -68,21 +68,21 @@
     return news.isConfirmed;
 }
 
-void StoreKeeper::notifyListener(
+void StoreSynchronizer::notifyListener(
     const std::vector<StoreItem>& changes, ChangeSource source, Milliseconds now, Actions& actions)
 {
     if (!changes.empty())
         this->listener->itemsChanged(changes, source, now, actions);
 }
 
-void StoreKeeper::recordCallResult(const StoreAnswer& answer, bool isFailure, Milliseconds now, Actions& actions)
+void StoreSynchronizer::recordCallResult(const StoreAnswer& answer, bool isFailure, Milliseconds now, Actions& actions)
 {
     this->counters->add(isFailure ? DecisionCount::StoreFailures : DecisionCount::StoreAnswers);
     this->failuresInARow = isFailure ? this->failuresInARow + 1 : 0;
     if (this->isStoreAnswering != isFailure)
         return;
     this->isStoreAnswering = !isFailure;
-    DecisionRecord record{ .topic = RecordTopic::Belief,
+    DecisionRecord record{ .topic = RecordTopic::Knowledge,
         .event = isFailure ? "store_lost" : "store_regained",
         .subject = "store",
         .fields = {} };
@@ -92,7 +92,7 @@
     actions.emplace_back(std::move(record));
 }
 
-std::vector<StoreItem> StoreKeeper::decodeItems(
+std::vector<StoreItem> StoreSynchronizer::decodeItems(
     const google::protobuf::RepeatedPtrField<peers::Item>& messages, bool& areAllRead, Actions& actions) const
 {
     std::vector<StoreItem> items;
@@ -105,7 +105,7 @@
         }
         areAllRead = false;
         // The caller requests the value again; this instance may simply no longer hold the base.
-        actions.emplace_back(beliefOf("value_not_unpacked", message.key())
+        actions.emplace_back(knowledgeRecord("value_not_unpacked", message.key())
                                  .with("revision", message.revision())
                                  .with("packed_against", message.base_revision())
                                  .with("have", this->storeView.revision()));
@@ -113,7 +113,7 @@
     return items;
 }
 
-bool StoreKeeper::applyNews(const peers::News& news, Milliseconds now, Actions& actions)
+bool StoreSynchronizer::applyNews(const peers::News& news, Milliseconds now, Actions& actions)
 {
     if (news.store_revision() > this->storeView.revision()) {
         const bool isGapless = news.base_revision() && news.base_revision() <= this->storeView.revision();
@@ -132,31 +132,31 @@
     return true;
 }
 
-void StoreKeeper::markConfirmed(Milliseconds at, Milliseconds now)
+void StoreSynchronizer::markConfirmed(Milliseconds at, Milliseconds now)
 {
     if (this->isStoreUnavailable(now))
         this->outageEndedAt = now;
     this->lastConfirmedAt = std::max(this->lastConfirmedAt, at);
 }
 
-Milliseconds StoreKeeper::lapseDeadline(Milliseconds now) const
+Milliseconds StoreSynchronizer::lapseDeadline(Milliseconds now) const
 {
     // The first changes after an outage are applied before the view is confirmed, so the outage may not have ended yet.
     return (this->isStoreUnavailable(now) ? now : this->outageEndedAt) + LapsedRecordLifetime;
 }
 
-bool StoreKeeper::isStoreUnavailable(Milliseconds now) const
+bool StoreSynchronizer::isStoreUnavailable(Milliseconds now) const
 {
     return this->lastConfirmedAt != LongAgo && now - this->lastConfirmedAt > StoreUnavailableAfter;
 }
 
-void StoreKeeper::applyWritten(const StoreItem& item, Milliseconds now, Actions& actions)
+void StoreSynchronizer::applyWritten(const StoreItem& item, Milliseconds now, Actions& actions)
 {
     const auto changes = this->storeView.applyChanges(std::span(&item, 1), this->storeView.revision());
     this->notifyListener(changes, ChangeSource::OwnWrite, now, actions);
 }
 
-bool StoreKeeper::applyPush(const peers::Push& push, Milliseconds now, Actions& actions)
+bool StoreSynchronizer::applyPush(const peers::Push& push, Milliseconds now, Actions& actions)
 {
     if (push.store_revision() <= this->storeView.revision())
         return true;
@@ -167,7 +167,7 @@
         areAllRead = plain && unpacked.ParseFromString(*plain);
     }
     if (!areAllRead) {
-        actions.emplace_back(beliefOf("push_not_unpacked", "store").with("revision", push.store_revision()));
+        actions.emplace_back(knowledgeRecord("push_not_unpacked", "store").with("revision", push.store_revision()));
         return false;
     }
     const auto& messages = push.packed_items().empty() ? push.items() : unpacked.items();
@@ -183,7 +183,7 @@
     return areAllRead;
 }
 
-peers::Push StoreKeeper::pushFor(const peers::Pull& pull)
+peers::Push StoreSynchronizer::pushFor(const peers::Pull& pull)
 {
     peers::Push push;
     push.set_store_revision(this->storeView.revision());
@@ -200,7 +200,7 @@
     return push;
 }
 
-peers::Push StoreKeeper::fullPush()
+peers::Push StoreSynchronizer::fullPush()
 {
     if (this->fullPushCache.store_revision() == this->storeView.revision())
         return this->fullPushCache;
@@ -213,7 +213,7 @@
     return push;
 }
 
-void StoreKeeper::pack(peers::Push& push)
+void StoreSynchronizer::pack(peers::Push& push)
 {
     peers::ItemList list;
     list.mutable_items()->Swap(push.mutable_items());
@@ -227,7 +227,7 @@
     push.set_plain_bytes(static_cast<std::uint32_t>(plain.size()));
 }
 
-peers::Push StoreKeeper::pushAfterNews(const peers::News& news)
+peers::Push StoreSynchronizer::pushAfterNews(const peers::News& news)
 {
     peers::Pull since;
     since.set_store_revision(news.base_revision());
@@ -236,7 +236,7 @@
     return push;
 }
 
-void StoreKeeper::fillNews(peers::News& news, StoreRevision since, Milliseconds now)
+void StoreSynchronizer::fillNews(peers::News& news, StoreRevision since, Milliseconds now)
 {
     news.set_store_revision(this->storeView.revision());
     news.set_is_confirmed(this->lastConfirmedAt != LongAgo);
--- a/Source/Node/StoreKeeper.h
+++ b/Source/Node/StoreSynchronizer.h
@@ -29,9 +29,9 @@
  * updates, pushes and its own writes, and tracks when the view was last
  * confirmed to be current.
  */
-class StoreKeeper {
+class StoreSynchronizer {
 public:
-    StoreKeeper(StoreReader::Options options, StoreListener& listener, StoreCallNumbers& numbers, Random& random,
+    StoreSynchronizer(StoreReader::Options options, StoreListener& listener, StoreCallNumbers& numbers, Random& random,
         DecisionCounters& counters);
 
     /** Calls the store when a call is due. */
--- a/Source/Node/TranslatedItem.cpp
+++ b/Source/Node/TranslatedItem.cpp
@@ -5,7 +5,7 @@
 namespace burlreach {
 
 std::shared_ptr<const TranslatedItem> translateItem(
-    const FactTranslator& translator, const StoreItem& item, ChangeSource source)
+    const StoreItemTranslator& translator, const StoreItem& item, ChangeSource source)
 {
     auto translated = std::make_shared<TranslatedItem>();
     translated->key = item.key;
--- a/Source/Node/TranslatedItem.h
+++ b/Source/Node/TranslatedItem.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Configuration/FactTranslator.h"
+#include "Configuration/StoreItemTranslator.h"
 #include "Customers/CustomerTable.h"
 #include "Node/ChangeSource.h"
 #include "Routing/RouteTable.h"
@@ -25,7 +25,7 @@
     StoreRevision revision = 0;
     std::size_t bytes = 0; // size of the item's value
     ChangeSource source = ChangeSource::Store;
-    Facts facts; // without the configuration, which is in `routing`
+    ConfigurationUpdate facts; // without the configuration, which is in `routing`
     std::shared_ptr<const PreparedRouting> routing; // null when the item holds no configuration
 };
 
@@ -34,6 +34,6 @@
  * run outside the node.
  */
 std::shared_ptr<const TranslatedItem> translateItem(
-    const FactTranslator& translator, const StoreItem& item, ChangeSource source);
+    const StoreItemTranslator& translator, const StoreItem& item, ChangeSource source);
 
 }
--- a/Source/Peers/PeerClient.cpp
+++ b/Source/Peers/PeerClient.cpp
@@ -24,7 +24,7 @@
     link->send(std::move(bytes));
 }
 
-void PeerClient::tend()
+void PeerClient::closeIdleLinks()
 {
     std::erase_if(this->links, [](const auto& item) {
         if (item.second->enforceTimeLimits())
--- a/Source/Peers/PeerClient.h
+++ b/Source/Peers/PeerClient.h
@@ -18,7 +18,7 @@
     /** Sends a message, or drops and counts it if it is too large. */
     void send(const NetworkAddress& address, const peers::PeerMessage& message);
     /** Closes and removes links that have been idle for too long; to be called a few times a second. */
-    void tend();
+    void closeIdleLinks();
     void close();
 
 private:
--- a/Source/Program/DecisionLog.cpp
+++ b/Source/Program/DecisionLog.cpp
@@ -44,7 +44,7 @@
         return this->requests;
     case RecordTopic::Refusal:
         return this->refusals;
-    case RecordTopic::Belief:
+    case RecordTopic::Knowledge:
         break;
     }
     return this->beliefs;
--- a/Source/Program/Dialect.cpp
+++ b/Source/Program/Dialect.cpp
@@ -1,8 +1,8 @@
 #include "Program/Dialect.h"
 
-#include "Configuration/OwnFactTranslator.h"
-#include "StoreClient/OwnStoreWire.h"
-#include "Traffic/OwnTrafficDialect.h"
+#include "Configuration/NativeItemTranslator.h"
+#include "StoreClient/NativeStoreProtocol.h"
+#include "Traffic/NativeTrafficDialect.h"
 
 #include <algorithm>
 
@@ -17,10 +17,10 @@
 
 Dialect makeOwnDialect()
 {
-    return { .store = std::make_unique<OwnStoreWire>(),
-        .facts = std::make_shared<OwnFactTranslator>(),
-        .traffic = std::make_unique<OwnTrafficDialect>(),
-        .changeKey = OwnConfigurationKey };
+    return { .store = std::make_unique<NativeStoreProtocol>(),
+        .facts = std::make_shared<NativeItemTranslator>(),
+        .traffic = std::make_unique<NativeTrafficDialect>(),
+        .changeKey = NativeConfigurationKey };
 }
 
 }
--- a/Source/Program/Dialect.h
+++ b/Source/Program/Dialect.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "Configuration/FactTranslator.h"
-#include "StoreClient/StoreWire.h"
+#include "Configuration/StoreItemTranslator.h"
+#include "StoreClient/StoreProtocol.h"
 #include "Traffic/TrafficDialect.h"
 
 #include <memory>
@@ -13,8 +13,8 @@
 
 /** The forms in which a deployment speaks: with the store, of its facts, and with callers and backend servers. */
 struct Dialect {
-    std::unique_ptr<StoreWire> store;
-    std::shared_ptr<FactTranslator> facts;
+    std::unique_ptr<StoreProtocol> store;
+    std::shared_ptr<StoreItemTranslator> facts;
     std::unique_ptr<TrafficDialect> traffic;
     std::string changeKey; // of the document that operators' calls change; empty: they write to the store themselves
 };
--- a/Source/Program/Instance.cpp
+++ b/Source/Program/Instance.cpp
@@ -111,7 +111,7 @@
     this->metrics.turns.add(took);
     if (took < LongTurn)
         return;
-    DecisionRecord record = beliefOf("turn_took_long", this->settings.instanceName);
+    DecisionRecord record = knowledgeRecord("turn_took_long", this->settings.instanceName);
     this->decisions.write(record.with("on", nameOf(event)).with("took", took.count));
 }
 
@@ -125,9 +125,9 @@
     asio::dispatch(this->context, [this, action] { this->peerClient.send(action.address, action.message); });
 }
 
-void Instance::execute(const AskStore& action)
+void Instance::execute(const CallStore& action)
 {
-    asio::dispatch(this->context, [this, action] { this->storeClient.ask(action.request); });
+    asio::dispatch(this->context, [this, action] { this->storeClient.startCall(action.request); });
 }
 
 void Instance::execute(const TranslateItem& action)
@@ -173,7 +173,7 @@
     const std::lock_guard lock(this->mutex);
     const Milliseconds now = this->clock.now();
     const InstanceFigures figures{ .openRequests = this->node.openRequests(),
-        .suspectedRequests = this->node.suspectedRequests(),
+        .suspectedRequests = this->node.crashingRequestCount(),
         .instances = this->node.instances(now),
         .isWatching = this->node.isWatching(),
         .storeRevision = this->node.storeRevision(),
@@ -296,8 +296,8 @@
     if (++this->tendings % TendingsPerTelling == 0)
         this->decisions.tellLeftOut();
     this->metrics.logLinesLeftOut = droppedLogLines();
-    this->peerClient.tend();
-    this->storeClient.tend();
+    this->peerClient.closeIdleLinks();
+    this->storeClient.closeExpiredConnections();
     if (this->file.hasChanged())
         this->reload("change of the file");
     this->advanceStop();
@@ -327,7 +327,8 @@
     this->stop.begin(this->clock.now());
     this->log.write(Severity::Info, "stopping", "\"bound\":" + std::to_string(this->settings.stopBound.count));
     this->post(StopAsked{});
-    this->traffic.run([this] { takeStopStep(this->traffic.requestDesk().sessions(), StopSequence::Step::Announced); });
+    this->traffic.run(
+        [this] { takeStopStep(this->traffic.requestDesk().callerListener(), StopSequence::Step::Announced); });
     this->scheduleTending();
 }
 
@@ -341,8 +342,8 @@
         return;
     // For the next look: an answer that is still being written is work, too.
     this->traffic.run([this, step, number = this->stop.look()] {
-        takeStopStep(this->traffic.requestDesk().sessions(), step);
-        this->metrics.unfinishedAnswers = workLeftFor(this->traffic.requestDesk().sessions());
+        takeStopStep(this->traffic.requestDesk().callerListener(), step);
+        this->metrics.unfinishedAnswers = workLeftFor(this->traffic.requestDesk().callerListener());
         this->countedLook = number;
     });
     if (step != StopSequence::Step::Ended)
--- a/Source/Program/Instance.h
+++ b/Source/Program/Instance.h
@@ -62,7 +62,7 @@
         this->traffic.run([this, action] { this->traffic.requestDesk().execute(action); });
     }
     void execute(const SendToPeer& action);
-    void execute(const AskStore& action);
+    void execute(const CallStore& action);
     void execute(const TranslateItem& action);
     void execute(const AnswerChange& action) { this->operators.execute(action); }
     void execute(const AnswerInForce& action) { this->operators.execute(action); }
--- a/Source/Program/ListenerStop.cpp
+++ b/Source/Program/ListenerStop.cpp
@@ -11,10 +11,10 @@
         return listener.closeAfterAnswers();
     case StopSequence::Step::Closing:
         // Connections that are coming up have until the next look.
-        if (listener.refusesNew())
+        if (listener.isRefusingNewConnections())
             listener.stopAccepting();
         else
-            listener.refuseNew();
+            listener.refuseNewConnections();
         return listener.closeIdle();
     case StopSequence::Step::Draining:
     case StopSequence::Step::Ended:
@@ -24,7 +24,7 @@
 
 std::size_t workLeftFor(const HttpListener& listener)
 {
-    return listener.unfinished() + (listener.isSought() ? 1 : 0);
+    return listener.unfinishedSessions() + (listener.hasRecentConnection() ? 1 : 0);
 }
 
 }
--- a/Source/Program/ReadinessPages.cpp
+++ b/Source/Program/ReadinessPages.cpp
@@ -28,7 +28,7 @@
     return error;
 }
 
-void ReadinessPages::requestRead(const std::shared_ptr<HttpSession>& session, ReadRequest request)
+void ReadinessPages::requestReceived(const std::shared_ptr<HttpSession>& session, ReceivedRequest request)
 {
     const bool isKnown = std::string_view(request.message.target()) == this->path;
     http::status status = this->reader->isReady() ? http::status::ok : http::status::service_unavailable;
--- a/Source/Program/ReadinessPages.h
+++ b/Source/Program/ReadinessPages.h
@@ -15,11 +15,11 @@
     ReadinessPages(asio::io_context& context, std::string path, const InstanceReader& reader, const Clock& clock);
 
     std::error_code listen(const NetworkAddress& address);
-    void tend() { this->listener.tend(); }
+    void tend() { this->listener.closeExpiredSessions(); }
     void stop() { this->listener.stopAccepting(); }
 
 private:
-    void requestRead(const std::shared_ptr<HttpSession>& session, ReadRequest request) override;
+    void requestReceived(const std::shared_ptr<HttpSession>& session, ReceivedRequest request) override;
     void requestUnreadable(
         const std::shared_ptr<HttpSession>& session, HttpRequestNumber request, HttpRequestProblem problem) override;
     void callerGone(const std::shared_ptr<HttpSession>&) override { }
--- a/Source/Program/TrafficThread.cpp
+++ b/Source/Program/TrafficThread.cpp
@@ -12,11 +12,11 @@
 
 constexpr Milliseconds TendingInterval{ 1000 };
 
-RequestDesk::Options deskOptions(const Settings& settings)
+RequestForwarder::Options deskOptions(const Settings& settings)
 {
-    RequestDesk::Options options;
+    RequestForwarder::Options options;
     options.address = settings.callersAddress;
-    options.mostSessions = settings.maximumSessions;
+    options.maxSessions = settings.maximumSessions;
     options.limits.headerBytes = settings.maximumHeaderBytes;
     options.limits.bodyBytes = settings.maximumBodyBytes;
     options.limits.idleTimeout = settings.idleSession;
@@ -25,9 +25,9 @@
 
 }
 
-TrafficThread::TrafficThread(const Settings& settings, Parts givenParts)
+TrafficThread::TrafficThread(const Settings& settings, Dependencies givenParts)
     : readinessAddress(settings.readinessAddress)
-    , parts(givenParts)
+    , dependencies(givenParts)
     , work(asio::make_work_guard(this->context))
     , timer(this->context)
     , tending(this->context)
@@ -77,13 +77,13 @@
     if (due >= this->wakesAt)
         return;
     this->wakesAt = due;
-    const Milliseconds span = std::max(Milliseconds{}, due - this->parts.clock->now());
+    const Milliseconds span = std::max(Milliseconds{}, due - this->dependencies.clock->now());
     this->timer.expires_after(toDuration(span));
     this->timer.async_wait([this](const asio::error_code& error) {
         if (error)
             return;
         this->wakesAt = Never;
-        this->parts.sink->post(RequestTimer{});
+        this->dependencies.sink->post(RequestTimer{});
     });
 }
 
@@ -93,7 +93,7 @@
     this->tending.async_wait([this](const asio::error_code& error) {
         if (error)
             return;
-        this->desk.tend();
+        this->desk.runMaintenance();
         this->readiness.tend();
         this->scheduleTending();
     });
--- a/Source/Program/TrafficThread.h
+++ b/Source/Program/TrafficThread.h
@@ -5,7 +5,7 @@
 #include "Program/ReadinessPages.h"
 #include "Settings/Settings.h"
 #include "Timers/Timer.h"
-#include "Traffic/RequestDesk.h"
+#include "Traffic/RequestForwarder.h"
 
 #include <asio/executor_work_guard.hpp>
 #include <asio/io_context.hpp>
@@ -18,7 +18,7 @@
 /** The thread that carries requests, with the timer of their decisions. */
 class TrafficThread {
 public:
-    struct Parts {
+    struct Dependencies {
         const TrafficDialect* dialect = nullptr;
         const Clock* clock = nullptr;
         EventSink* sink = nullptr;
@@ -27,7 +27,7 @@
         const InstanceReader* reader = nullptr;
     };
 
-    TrafficThread(const Settings& settings, Parts parts);
+    TrafficThread(const Settings& settings, Dependencies parts);
     ~TrafficThread();
     TrafficThread(const TrafficThread&) = delete;
     TrafficThread& operator=(const TrafficThread&) = delete;
@@ -37,7 +37,7 @@
 
     /** Runs it on the thread: at once when called there. */
     void run(std::function<void()> task);
-    RequestDesk& requestDesk() { return this->desk; }
+    RequestForwarder& requestDesk() { return this->desk; }
     ReadinessPages& readinessPages() { return this->readiness; }
     /** Sends a RequestTimer at this time; only to be called on the thread. */
     void wakeAt(Milliseconds due);
@@ -46,12 +46,12 @@
     void scheduleTending();
 
     NetworkAddress readinessAddress;
-    Parts parts;
+    Dependencies dependencies;
     asio::io_context context;
     asio::executor_work_guard<asio::io_context::executor_type> work;
     Timer timer;
     Timer tending;
-    RequestDesk desk;
+    RequestForwarder desk;
     ReadinessPages readiness;
     Milliseconds wakesAt = Never;
     std::thread thread;
--- a/Source/Quotas/GrantorTenure.cpp
+++ b/Source/Quotas/CreditGrantorLease.cpp
@@ -1,4 +1,4 @@
-#include "Quotas/GrantorTenure.h"
+#include "Quotas/CreditGrantorLease.h"
 
 #include <algorithm>
 #include <google/protobuf/util/json_util.h>
@@ -27,7 +27,7 @@
     return text;
 }
 
-std::optional<peers::CreditGrantor> readGrantor(const std::string& value)
+std::optional<peers::CreditGrantor> decodeGrantor(const std::string& value)
 {
     peers::CreditGrantor grantor;
     google::protobuf::util::JsonParseOptions options;
@@ -36,7 +36,7 @@
     return status.ok() ? std::optional(std::move(grantor)) : std::nullopt;
 }
 
-GrantorTenure::GrantorTenure(Options givenOptions, StoreCallNumbers& givenNumbers, Random& givenRandom)
+CreditGrantorLease::CreditGrantorLease(Options givenOptions, StoreCallNumbers& givenNumbers, Random& givenRandom)
     : options(std::move(givenOptions))
     , numbers(&givenNumbers)
     , random(&givenRandom)
@@ -44,7 +44,7 @@
 {
 }
 
-bool GrantorTenure::isHolder() const
+bool CreditGrantorLease::isHolder() const
 {
     if (!this->holderRecord || this->holderRecord->released())
         return false;
@@ -53,25 +53,25 @@
     return life.name() == own.name() && life.number() == own.number();
 }
 
-std::optional<peers::Member> GrantorTenure::holder() const
+std::optional<peers::Member> CreditGrantorLease::holder() const
 {
     return this->holderRecord && !this->holderRecord->released() ? std::optional(this->holderRecord->member())
                                                                  : std::nullopt;
 }
 
-void GrantorTenure::updateHolder(const StoreItem* stored, Milliseconds now)
+void CreditGrantorLease::updateHolder(const StoreItem* stored, Milliseconds now)
 {
     const StoreRevision revision = stored ? stored->revision : 0;
     if (revision == this->holderRevision)
         return;
     this->holderRevision = revision;
     this->holderSince = now;
-    this->holderRecord = stored && !stored->removed ? readGrantor(stored->value) : std::nullopt;
+    this->holderRecord = stored && !stored->removed ? decodeGrantor(stored->value) : std::nullopt;
     if (this->isHolder())
         this->startHolding(now);
 }
 
-void GrantorTenure::startHolding(Milliseconds now)
+void CreditGrantorLease::startHolding(Milliseconds now)
 {
     this->hasStopped = false;
     this->nextConfirmation = now;
@@ -84,7 +84,7 @@
     this->grantingStart = this->halfFrom;
 }
 
-GrantMode GrantorTenure::mode(Milliseconds now) const
+GrantMode CreditGrantorLease::mode(Milliseconds now) const
 {
     if (!this->isHolder() || this->hasStopped || now < this->halfFrom)
         return GrantMode::None;
@@ -94,7 +94,7 @@
     return now < this->fullFrom || age > this->options.fullFor ? GrantMode::Half : GrantMode::Full;
 }
 
-GrantorTenure::Predecessor GrantorTenure::evaluatePredecessor(const Inputs& inputs, Milliseconds now) const
+CreditGrantorLease::Predecessor CreditGrantorLease::evaluatePredecessor(const Inputs& inputs, Milliseconds now) const
 {
     if (!inputs.stored)
         return Predecessor::None;
@@ -109,7 +109,7 @@
     return isSameAddress(member, this->options.self) ? Predecessor::Gone : Predecessor::Uncertain;
 }
 
-GrantorTenure::Predecessor GrantorTenure::evaluateOtherInstance(const Inputs& inputs, Milliseconds now) const
+CreditGrantorLease::Predecessor CreditGrantorLease::evaluateOtherInstance(const Inputs& inputs, Milliseconds now) const
 {
     const peers::Member& member = this->holderRecord->member();
     const auto heard = inputs.heard(member.incarnation().name());
@@ -125,7 +125,7 @@
     return isLost ? Predecessor::Uncertain : Predecessor::Present;
 }
 
-StoreRequest GrantorTenure::write(const StoreItem* stored, bool isReleased, Milliseconds now)
+StoreRequest CreditGrantorLease::write(const StoreItem* stored, bool isReleased, Milliseconds now)
 {
     peers::CreditGrantor grantor;
     *grantor.mutable_member() = this->options.self;
@@ -143,7 +143,7 @@
     return request;
 }
 
-StoreRequest GrantorTenure::requestConfirmation(Milliseconds now)
+StoreRequest CreditGrantorLease::requestConfirmation(Milliseconds now)
 {
     StoreRequest request;
     request.number = this->numbers->next();
@@ -156,7 +156,7 @@
     return request;
 }
 
-std::optional<StoreRequest> GrantorTenure::renewOrRelease(const Inputs& inputs, Milliseconds now)
+std::optional<StoreRequest> CreditGrantorLease::renewOrRelease(const Inputs& inputs, Milliseconds now)
 {
     if (!inputs.isNeeded && !this->pendingWrite && now >= this->pausedUntil) {
         this->hasStopped = true;
@@ -169,7 +169,7 @@
     return confirmation;
 }
 
-std::optional<StoreRequest> GrantorTenure::acquire(const Inputs& inputs, Milliseconds now)
+std::optional<StoreRequest> CreditGrantorLease::acquire(const Inputs& inputs, Milliseconds now)
 {
     if (!inputs.isNeeded || !inputs.isWatching || this->pendingWrite || now < this->pausedUntil)
         return std::nullopt;
@@ -185,7 +185,7 @@
     return this->write(inputs.stored, false, now);
 }
 
-std::optional<StoreRequest> GrantorTenure::next(const Inputs& inputs, Milliseconds now)
+std::optional<StoreRequest> CreditGrantorLease::next(const Inputs& inputs, Milliseconds now)
 {
     this->updateHolder(inputs.stored, now);
     if (!inputs.isWatching)
@@ -194,7 +194,7 @@
     return this->isHolder() && !this->hasStopped ? this->renewOrRelease(inputs, now) : this->acquire(inputs, now);
 }
 
-void GrantorTenure::handleConfirmation(const StoreAnswer& answer)
+void CreditGrantorLease::handleConfirmation(const StoreAnswer& answer)
 {
     this->pendingConfirmation = 0;
     if (answer.status != StoreStatus::Done)
@@ -206,7 +206,7 @@
         this->hasStopped = true; // another instance is the holder; the watch will deliver the new item
 }
 
-bool GrantorTenure::answered(const StoreAnswer& answer, Milliseconds now)
+bool CreditGrantorLease::answered(const StoreAnswer& answer, Milliseconds now)
 {
     if (this->pendingConfirmation && answer.number == this->pendingConfirmation) {
         this->handleConfirmation(answer);
--- a/Source/Quotas/GrantorTenure.h
+++ b/Source/Quotas/CreditGrantorLease.h
@@ -4,7 +4,7 @@
 #include "Base/NetworkAddress.h"
 #include "Base/Random.h"
 #include "Exchange/Backoff.h"
-#include "Quotas/CreditGrants.h"
+#include "Quotas/CreditIssuer.h"
 #include "Store/StoreCall.h"
 #include "Store/StoreCallNumbers.h"
 #include "Store/StoreItem.h"
@@ -23,7 +23,7 @@
 /** Encodes the message as JSON. */
 std::string encodeGrantor(const peers::CreditGrantor& grantor);
 /** nullopt when the value is not such a message. */
-std::optional<peers::CreditGrantor> readGrantor(const std::string& value);
+std::optional<peers::CreditGrantor> decodeGrantor(const std::string& value);
 
 /**
  * Decides whether this instance is the one that grants credit for customers' requests. It works like a lease.
@@ -39,7 +39,7 @@
  * The leading watcher takes the role first. The holder then keeps it while it lives, whichever instance leads: a store
  * outage during a change of holder would interrupt granting. Any watcher may replace a holder that is lost.
  */
-class GrantorTenure {
+class CreditGrantorLease {
 public:
     struct Options {
         peers::Member self;
@@ -68,7 +68,7 @@
         std::function<std::optional<Heard>(const std::string& name)> heard;
     };
 
-    GrantorTenure(Options options, StoreCallNumbers& numbers, Random& random);
+    CreditGrantorLease(Options options, StoreCallNumbers& numbers, Random& random);
 
     /** Evaluates the present state; returns the next call to the store, if one is due. */
     std::optional<StoreRequest> next(const Inputs& inputs, Milliseconds now);
--- a/Source/Quotas/CreditGrants.cpp
+++ b/Source/Quotas/CreditIssuer.cpp
@@ -1,4 +1,4 @@
-#include "Quotas/CreditGrants.h"
+#include "Quotas/CreditIssuer.h"
 
 #include <algorithm>
 
@@ -15,19 +15,19 @@
 
 }
 
-CreditGrants::CreditGrants(const QuotaBound& givenBound)
+CreditIssuer::CreditIssuer(const QuotaBound& givenBound)
     : bound(givenBound)
 {
 }
 
-void CreditGrants::begin(bool isFirst, Milliseconds now)
+void CreditIssuer::begin(bool isFirst, Milliseconds now)
 {
     this->startsFull = isFirst;
     this->grantingSince = now;
     this->accounts.clear();
 }
 
-TokenBucket::Rate CreditGrants::rateOf(const QuotaPlan& plan, GrantMode mode) const
+TokenBucket::Rate CreditIssuer::rateOf(const QuotaPlan& plan, GrantMode mode) const
 {
     if (mode == GrantMode::Full)
         return { .perSecond = plan.grantedPerSecond(), .capacity = plan.grantBurst() };
@@ -35,7 +35,7 @@
     return { .perSecond = half, .capacity = std::max(1.0, half * (HalfModeBurst / Second)) };
 }
 
-CreditGrant CreditGrants::grant(const Customer& customer, unsigned wanted, GrantMode mode, Milliseconds now)
+CreditGrant CreditIssuer::grant(const Customer& customer, unsigned wanted, GrantMode mode, Milliseconds now)
 {
     if (mode == GrantMode::None)
         return {};
@@ -58,7 +58,7 @@
     return grant;
 }
 
-std::uint64_t CreditGrants::granted(const std::string& customer, Milliseconds now) const
+std::uint64_t CreditIssuer::granted(const std::string& customer, Milliseconds now) const
 {
     const auto account = this->accounts.find(customer);
     if (account == this->accounts.end())
--- a/Source/Quotas/CreditGrants.h
+++ b/Source/Quotas/CreditIssuer.h
@@ -25,9 +25,9 @@
 };
 
 /** Grants credit to all instances: holds the token buckets of all customers, at the granting instance. */
-class CreditGrants {
+class CreditIssuer {
 public:
-    explicit CreditGrants(const QuotaBound& bound);
+    explicit CreditIssuer(const QuotaBound& bound);
 
     /**
      * Starts granting, with new buckets. They start full only when no instance granted before (`isFirst`): what a
--- a/Source/Quotas/CreditDesk.cpp
+++ b/Source/Quotas/CreditManager.cpp
@@ -1,4 +1,4 @@
-#include "Quotas/CreditDesk.h"
+#include "Quotas/CreditManager.h"
 
 #include <algorithm>
 
@@ -11,20 +11,20 @@
 
 }
 
-CreditDesk::CreditDesk(const Options& givenOptions, Random& givenRandom)
+CreditManager::CreditManager(const Options& givenOptions, Random& givenRandom)
     : options(givenOptions)
     , random(&givenRandom)
 {
 }
 
-CreditDecision CreditDesk::refusal(CreditDecision::Outcome outcome, Milliseconds wait)
+CreditDecision CreditManager::refusal(CreditDecision::Outcome outcome, Milliseconds wait)
 {
     // Up to twice the wait, at random: otherwise all refused callers would retry at once for the same credit.
     const Milliseconds retryDelay = std::max(MinimumRetryDelay, wait) * (1 + this->random->unit());
-    return { .outcome = outcome, .grantedAt = {}, .comeBackAfter = retryDelay };
+    return { .outcome = outcome, .grantedAt = {}, .retryAfter = retryDelay };
 }
 
-std::optional<Milliseconds> CreditDesk::takeLocal(const Customer& customer, Milliseconds now)
+std::optional<Milliseconds> CreditManager::takeLocal(const Customer& customer, Milliseconds now)
 {
     std::deque<Milliseconds>& unusedTimes = this->accounts[customer.name].unusedCredits;
     while (!unusedTimes.empty() && now - unusedTimes.front() >= CreditLife)
@@ -38,32 +38,32 @@
         return std::nullopt;
     const QuotaPlan plan(customer.limit, this->options.bound);
     const auto instanceCount = static_cast<double>(std::max<std::size_t>(*this->instances, 1));
-    const DealtBudget::Part part{ .perSecond = plan.usableWithoutGrantPerSecond() / instanceCount,
+    const LocalBudgetShare::Rate part{ .perSecond = plan.usableWithoutGrantPerSecond() / instanceCount,
         .window = LocalBudgetWindow };
     return this->localBudget.take(customer.name, part, *this->random, now) ? std::optional(now) : std::nullopt;
 }
 
-CreditDecision CreditDesk::request(RequestNumber request, const Customer& customer, Milliseconds now)
+CreditDecision CreditManager::request(RequestNumber request, const Customer& customer, Milliseconds now)
 {
     if (const auto grantedAt = this->takeLocal(customer, now))
-        return { .outcome = CreditDecision::Outcome::Granted, .grantedAt = *grantedAt, .comeBackAfter = {} };
+        return { .outcome = CreditDecision::Outcome::Granted, .grantedAt = *grantedAt, .retryAfter = {} };
     Account& account = this->accounts[customer.name];
     if (now < account.exhaustedUntil)
         return this->refusal(CreditDecision::Outcome::Exhausted, account.exhaustedUntil - now);
-    if (this->isSilent(now))
+    if (this->isGrantorUnresponsive(now))
         return this->refusal(CreditDecision::Outcome::Unconfirmed, this->unresponsiveUntil - now);
     account.waiting.push_back(request);
     this->activeCustomers.insert(customer.name);
-    return { .outcome = CreditDecision::Outcome::Awaited, .grantedAt = {}, .comeBackAfter = {} };
+    return { .outcome = CreditDecision::Outcome::Awaited, .grantedAt = {}, .retryAfter = {} };
 }
 
-void CreditDesk::giveBack(const std::string& customer, Milliseconds grantedAt, Milliseconds now)
+void CreditManager::giveBack(const std::string& customer, Milliseconds grantedAt, Milliseconds now)
 {
     if (now - grantedAt < CreditLife)
         this->accounts[customer].unusedCredits.push_back(grantedAt);
 }
 
-void CreditDesk::forget(RequestNumber request, const std::string& customer)
+void CreditManager::forget(RequestNumber request, const std::string& customer)
 {
     Account& account = this->accounts[customer];
     const auto found = std::find(account.waiting.begin(), account.waiting.end(), request);
@@ -73,9 +73,9 @@
     account.waiting.erase(found);
 }
 
-std::vector<CreditDesk::Ask> CreditDesk::takeAsks(Milliseconds now)
+std::vector<CreditManager::Query> CreditManager::takeQueries(Milliseconds now)
 {
-    std::vector<Ask> asks;
+    std::vector<Query> asks;
     std::erase_if(this->activeCustomers, [this](const std::string& customer) {
         const Account& account = this->accounts[customer];
         return account.waiting.empty() && !account.pendingQuery;
@@ -94,8 +94,8 @@
     return asks;
 }
 
-void CreditDesk::refuseFront(
-    Account& account, std::size_t count, const CreditDecision& decision, std::vector<Settled>& settled)
+void CreditManager::refuseFront(
+    Account& account, std::size_t count, const CreditDecision& decision, std::vector<DecidedRequest>& settled)
 {
     for (; count && !account.waiting.empty(); --count) {
         settled.push_back({ .request = account.waiting.front(), .decision = decision });
@@ -103,9 +103,9 @@
     }
 }
 
-std::vector<CreditDesk::Settled> CreditDesk::nobodyGrants(Milliseconds now)
+std::vector<CreditManager::DecidedRequest> CreditManager::refuseAllWaiting(Milliseconds now)
 {
-    std::vector<Settled> settled;
+    std::vector<DecidedRequest> settled;
     this->unresponsiveUntil = now + this->options.unresponsivePause;
     for (const std::string& customer : this->activeCustomers) {
         Account& account = this->accounts[customer];
@@ -119,15 +119,15 @@
     return settled;
 }
 
-std::vector<CreditDesk::Settled> CreditDesk::answered(const Answer& answer, Milliseconds now)
+std::vector<CreditManager::DecidedRequest> CreditManager::answered(const Answer& answer, Milliseconds now)
 {
-    std::vector<Settled> settled;
+    std::vector<DecidedRequest> settled;
     const auto found = this->accounts.find(answer.customer);
     // Credit in a late answer is discarded: the granting instance may have lost its role since then.
     if (found == this->accounts.end() || !answer.number || found->second.pendingQuery != answer.number)
         return settled;
     if (!answer.isGranting)
-        return this->nobodyGrants(now);
+        return this->refuseAllWaiting(now);
     Account& account = found->second;
     // The exact time of the grant is unknown. Taking the time when the query was sent, the earliest possible, makes
     // the credit expire early rather than late.
@@ -140,7 +140,7 @@
     std::size_t served = 0;
     for (; left && !account.waiting.empty(); --left, ++served) {
         settled.push_back({ .request = account.waiting.front(),
-            .decision = { .outcome = CreditDecision::Outcome::Granted, .grantedAt = grantedAt, .comeBackAfter = {} } });
+            .decision = { .outcome = CreditDecision::Outcome::Granted, .grantedAt = grantedAt, .retryAfter = {} } });
         account.waiting.pop_front();
     }
     for (; left; --left)
@@ -153,7 +153,7 @@
     return settled;
 }
 
-std::vector<CreditDesk::Settled> CreditDesk::tick(Milliseconds now)
+std::vector<CreditManager::DecidedRequest> CreditManager::tick(Milliseconds now)
 {
     bool isUnresponsive = false;
     for (const std::string& customer : this->activeCustomers) {
@@ -164,10 +164,10 @@
         account.pendingQuery = 0;
         isUnresponsive = isUnresponsive || ++account.unansweredQueries >= this->options.maximumQueries;
     }
-    return isUnresponsive ? this->nobodyGrants(now) : std::vector<Settled>();
+    return isUnresponsive ? this->refuseAllWaiting(now) : std::vector<DecidedRequest>();
 }
 
-Milliseconds CreditDesk::nextDue() const
+Milliseconds CreditManager::nextDue() const
 {
     Milliseconds due = Never;
     for (const std::string& customer : this->activeCustomers)
--- a/Source/Quotas/CreditDesk.h
+++ b/Source/Quotas/CreditManager.h
@@ -1,11 +1,11 @@
 #pragma once
 
 #include "Admission/WaitingQueue.h"
-#include "Base/DealtBudget.h"
+#include "Base/LocalBudgetShare.h"
 #include "Base/Milliseconds.h"
 #include "Base/Random.h"
 #include "Customers/Customer.h"
-#include "Quotas/CreditGrants.h"
+#include "Quotas/CreditIssuer.h"
 #include "Quotas/QuotaPlan.h"
 
 #include <cstddef>
@@ -30,7 +30,7 @@
 
     Outcome outcome = Outcome::Unconfirmed;
     Milliseconds grantedAt; // if Granted; the request must reach a backend server within CreditLife of this time
-    Milliseconds comeBackAfter; // if refused: when the caller may retry, with jitter
+    Milliseconds retryAfter; // if refused: when the caller may retry, with jitter
 };
 
 /**
@@ -43,7 +43,7 @@
  * until credit is expected again. After several queries in a row without an answer, all waiting requests are refused,
  * and new ones are refused at once for a short time.
  */
-class CreditDesk {
+class CreditManager {
 public:
     struct Options {
         QuotaBound bound;
@@ -53,7 +53,7 @@
     };
 
     /** A query to the granting instance. */
-    struct Ask {
+    struct Query {
         std::uint64_t number = 0;
         std::string customer;
         unsigned requests = 0;
@@ -68,12 +68,12 @@
     };
 
     /** A waiting request with its decision, which is never Awaited. */
-    struct Settled {
+    struct DecidedRequest {
         RequestNumber request = 0;
         CreditDecision decision;
     };
 
-    CreditDesk(const Options& options, Random& random);
+    CreditManager(const Options& options, Random& random);
 
     /** Sets the least number of instances in the fleet; nullopt: unknown, no credit is used without a grant. */
     void setInstances(std::optional<std::size_t> count) { this->instances = count; }
@@ -87,16 +87,16 @@
     void forget(RequestNumber request, const std::string& customer);
 
     /** The queries to send now. */
-    std::vector<Ask> takeAsks(Milliseconds now);
+    std::vector<Query> takeQueries(Milliseconds now);
     /** Refuses all waiting requests, because no instance grants credit or the granting instance does not answer. */
-    std::vector<Settled> nobodyGrants(Milliseconds now);
+    std::vector<DecidedRequest> refuseAllWaiting(Milliseconds now);
     /** Handles an answer; returns the requests that it decides. Answers to other queries than the last are ignored. */
-    std::vector<Settled> answered(const Answer& answer, Milliseconds now);
+    std::vector<DecidedRequest> answered(const Answer& answer, Milliseconds now);
     /** Handles queries that have timed out; returns the requests that are refused for that. */
-    std::vector<Settled> tick(Milliseconds now);
+    std::vector<DecidedRequest> tick(Milliseconds now);
     Milliseconds nextDue() const;
     /** True for a short time after the granting instance failed to answer, or there was none. */
-    bool isSilent(Milliseconds now) const { return now < this->unresponsiveUntil; }
+    bool isGrantorUnresponsive(Milliseconds now) const { return now < this->unresponsiveUntil; }
 
 private:
     /** The credit state of one customer at this instance. */
@@ -112,12 +112,12 @@
 
     CreditDecision refusal(CreditDecision::Outcome outcome, Milliseconds wait);
     void refuseFront(
-        Account& account, std::size_t count, const CreditDecision& decision, std::vector<Settled>& settled);
+        Account& account, std::size_t count, const CreditDecision& decision, std::vector<DecidedRequest>& settled);
 
     Options options;
     Random* random;
     std::optional<std::size_t> instances;
-    DealtBudget localBudget;
+    LocalBudgetShare localBudget;
     std::map<std::string, Account> accounts; // by customer
     std::set<std::string> activeCustomers; // customers with waiting requests or a query under way
     std::uint64_t lastQuery = 0;
--- a/Source/Rollouts/FleetEvidence.cpp
+++ b/Source/Rollouts/FleetEvidence.cpp
@@ -19,7 +19,7 @@
 
 }
 
-void FleetEvidence::told(const std::string& instance, std::uint64_t life, const CountsByRoute& counts)
+void FleetEvidence::recordCounts(const std::string& instance, std::uint64_t life, const CountsByRoute& counts)
 {
     CountsByRoute& lastReport = this->byInstance[{ instance, life }];
     for (const auto& [route, now] : counts) {
--- a/Source/Rollouts/FleetEvidence.h
+++ b/Source/Rollouts/FleetEvidence.h
@@ -21,7 +21,7 @@
 class FleetEvidence {
 public:
     /** Takes a report of one life of an instance: its totals so far. Reports older than the last are ignored. */
-    void told(const std::string& instance, std::uint64_t life, const CountsByRoute& counts);
+    void recordCounts(const std::string& instance, std::uint64_t life, const CountsByRoute& counts);
     bool isBad() const;
     const VersionCounts& total() const { return this->totalCounts; }
 
--- a/Source/Routing/AttemptResult.h
+++ b/Source/Routing/AttemptResult.h
@@ -35,7 +35,7 @@
 std::string_view nameOf(AttemptResult result);
 
 /** The load that a backend server reported. */
-struct LoadFigures {
+struct ReportedLoad {
     std::uint32_t running = 0; // requests
     std::uint32_t waiting = 0; // requests
     std::uint32_t slots = 0; // requests that it runs at once; 0: not reported
@@ -45,9 +45,9 @@
 /** The outcome of an attempt, with what the headers of the answer reported. */
 struct AttemptEnd {
     AttemptResult result = AttemptResult::Broken;
-    std::optional<LoadFigures> load;
+    std::optional<ReportedLoad> load;
     int status = 0; // HTTP status of the answer; 0: no answer
-    bool isPromise = false; // the status implies "not run", but the answer does not prove it
+    bool claimsNotRun = false; // the status implies "not run", but the answer does not prove it
 };
 
 }
--- a/Source/Routing/BackendServerState.cpp
+++ b/Source/Routing/BackendServerState.cpp
@@ -59,7 +59,7 @@
 
 double BackendServerState::slots() const
 {
-    const std::uint32_t reportedSlots = this->lastReport.figures.slots;
+    const std::uint32_t reportedSlots = this->lastReport.load.slots;
     return static_cast<double>(std::max<std::size_t>(1, reportedSlots ? reportedSlots : this->description.slots));
 }
 
@@ -70,7 +70,8 @@
 
 void BackendServerState::sent(AttemptNumber attempt, Milliseconds now)
 {
-    const double use = (static_cast<double>(this->inFlight()) + this->lastReport.others + 1) / this->slots();
+    const double use
+        = (static_cast<double>(this->inFlight()) + this->lastReport.requestsFromOthers + 1) / this->slots();
     const bool isFresh = now - this->lastReport.at <= FreshReportAge;
     this->flights.push_back({ .attempt = attempt,
         .sentAt = now,
@@ -89,9 +90,9 @@
     const InFlightAttempt ended = *flight;
     this->flights.erase(flight);
     if (ended.permit && end.result == AttemptResult::NotSent)
-        this->sendPermits.give(*ended.permit);
+        this->sendPermits.add(*ended.permit);
     if (end.load)
-        this->reported(*end.load, now);
+        this->updateLoad(*end.load, now);
     this->updateEstimates(end, ended, expected, now);
     if (end.result != AttemptResult::Answered || expected.count <= 0)
         return {};
@@ -197,15 +198,16 @@
     this->backoffUntil = now + FirstRefusalBackoff * doubling;
 }
 
-void BackendServerState::reported(const LoadFigures& figures, Milliseconds now)
+void BackendServerState::updateLoad(const ReportedLoad& figures, Milliseconds now)
 {
     const double total = static_cast<double>(figures.running) + figures.waiting;
     // A server that reports fewer requests than this instance alone has in flight there does not report its real load.
     const auto hasReachedServer = [now](const InFlightAttempt& flight) { return now - flight.sentAt > MaxTransitTime; };
     if (static_cast<double>(std::count_if(this->flights.begin(), this->flights.end(), hasReachedServer)) > total)
         this->distrustedUntil = now + DistrustPeriod;
-    this->lastReport
-        = { .figures = figures, .others = std::max(0.0, total - static_cast<double>(this->inFlight())), .at = now };
+    this->lastReport = {
+        .load = figures, .requestsFromOthers = std::max(0.0, total - static_cast<double>(this->inFlight())), .at = now
+    };
 }
 
 void BackendServerState::probeFailed()
@@ -213,10 +215,10 @@
     ++this->failures;
 }
 
-bool BackendServerState::saidItIsWell(Milliseconds now) const
+bool BackendServerState::isReportedIdle(Milliseconds now) const
 {
-    return now - this->lastReport.at <= FreshReportAge && this->lastReport.figures.workPercent <= UsualSpeedPercent
-        && static_cast<double>(this->inFlight()) + this->lastReport.others < 1;
+    return now - this->lastReport.at <= FreshReportAge && this->lastReport.load.workPercent <= UsualSpeedPercent
+        && static_cast<double>(this->inFlight()) + this->lastReport.requestsFromOthers < 1;
 }
 
 void BackendServerState::eject(Milliseconds until)
--- a/Source/Routing/BackendServerState.h
+++ b/Source/Routing/BackendServerState.h
@@ -14,9 +14,9 @@
 namespace burlreach {
 
 /** A load report and the time at which it was received. */
-struct LoadReport {
-    LoadFigures figures;
-    double others = 0; // requests of other instances at the server at that time
+struct TimedLoadReport {
+    ReportedLoad load;
+    double requestsFromOthers = 0; // requests of other instances at the server at that time
     Milliseconds at = LongAgo;
 };
 
@@ -42,7 +42,7 @@
      * at an average server; zero when it is not known.
      */
     FinishedAttempt ended(AttemptNumber attempt, const AttemptEnd& end, Milliseconds expected, Milliseconds now);
-    void reported(const LoadFigures& figures, Milliseconds now);
+    void updateLoad(const ReportedLoad& figures, Milliseconds now);
     /** A probe could not connect, or was not answered. */
     void probeFailed();
     /** The server announced that it is shutting down: this life gets no new requests. */
@@ -50,7 +50,7 @@
     /** The server asked this instance to send nothing until then. An earlier request for a longer pause stays valid. */
     void pauseUntil(Milliseconds until);
     /** The server reported for how long it is still cold; zero: it is warm. */
-    void coldFor(Milliseconds remaining, Milliseconds now) { this->coldUntil = now + remaining; }
+    void setColdFor(Milliseconds remaining, Milliseconds now) { this->coldUntil = now + remaining; }
     /** Its data centre was emptied, or was taken back into use. */
     void setEmptied(bool isEmptied) { this->emptied = isEmptied; }
     /** Another backend server now has the address: this life is over. */
@@ -89,8 +89,8 @@
     double failureShare(Milliseconds now) const;
 
     /** A fresh report shows no requests at the server and no slowdown. */
-    bool saidItIsWell(Milliseconds now) const;
-    const LoadReport& report() const { return this->lastReport; }
+    bool isReportedIdle(Milliseconds now) const;
+    const TimedLoadReport& report() const { return this->lastReport; }
     /** False for some time after a report that contradicted the requests in flight from this instance. */
     bool isReportTrusted(Milliseconds now) const { return now >= this->distrustedUntil; }
     /** How many times longer than usual requests took at this server, without the slowdown that it reported itself. */
@@ -123,7 +123,7 @@
     bool leaving = false;
     std::vector<InFlightAttempt> flights;
     SendPermits sendPermits;
-    LoadReport lastReport;
+    TimedLoadReport lastReport;
     Milliseconds distrustedUntil = LongAgo;
     double slownessEstimate = 1;
     Milliseconds slownessAt = LongAgo;
--- a/Source/Routing/ColdStartShare.cpp
+++ b/Source/Routing/ColdStartShare.cpp
@@ -18,7 +18,7 @@
 
 }
 
-DealtBudget::Part ColdStartShare::budgetPart() const
+LocalBudgetShare::Rate ColdStartShare::budgetPart() const
 {
     const std::size_t instances = std::max(this->options.instances.value_or(0), FewestInstances);
     const double ofWindow = this->options.perSecond / static_cast<double>(instances);
--- a/Source/Routing/ColdStartShare.h
+++ b/Source/Routing/ColdStartShare.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Base/DealtBudget.h"
+#include "Base/LocalBudgetShare.h"
 #include "Base/Random.h"
 #include "Routing/BackendServerState.h"
 
@@ -32,11 +32,11 @@
     void forget(const std::string& backendServer) { this->budget.forget(backendServer); }
 
 private:
-    DealtBudget::Part budgetPart() const;
+    LocalBudgetShare::Rate budgetPart() const;
     bool hasRateLimit(const BackendServerState& server, Milliseconds now) const;
 
     Options options;
-    DealtBudget budget;
+    LocalBudgetShare budget;
 };
 
 }
--- a/Source/Routing/LoadAwarePolicy.cpp
+++ b/Source/Routing/LoadAwarePolicy.cpp
@@ -55,8 +55,8 @@
     for (const BackendServerState* server : servers) {
         if (server->report().at == LongAgo)
             continue;
-        others += server->report().others;
-        factors += server->report().figures.workPercent / UsualPercent;
+        others += server->report().requestsFromOthers;
+        factors += server->report().load.workPercent / UsualPercent;
         known += 1;
     }
     if (known > 0)
@@ -68,12 +68,13 @@
 
 ExpectedLoad expectedLoadOf(const BackendServerState& server, const PoolLoad& pool, Milliseconds now)
 {
-    const LoadReport& report = server.report();
+    const TimedLoadReport& report = server.report();
     const double trust
         = !server.isReportTrusted(now) ? 0 : std::exp(-std::max(0.0, (now - report.at).count) / ReportDecay.count);
-    const double reportedFactor = std::max<std::uint32_t>(report.figures.workPercent, 1) / UsualPercent;
+    const double reportedFactor = std::max<std::uint32_t>(report.load.workPercent, 1) / UsualPercent;
     ExpectedLoad load;
-    load.requests = static_cast<double>(server.inFlight()) + pool.others + (report.others - pool.others) * trust;
+    load.requests
+        = static_cast<double>(server.inFlight()) + pool.others + (report.requestsFromOthers - pool.others) * trust;
     load.workFactor = pool.workFactor + (reportedFactor - pool.workFactor) * trust;
     return load;
 }
--- a/Source/Routing/NoticeBook.cpp
+++ b/Source/Routing/NoticeRegistry.cpp
@@ -1,15 +1,15 @@
-#include "Routing/NoticeBook.h"
+#include "Routing/NoticeRegistry.h"
 
 #include <algorithm>
 
 namespace burlreach {
 
-NoticeBook::NoticeBook(Options givenOptions)
+NoticeRegistry::NoticeRegistry(Options givenOptions)
     : options(givenOptions)
 {
 }
 
-NoticeBook::Entry* NoticeBook::entryOf(const std::string& backendServer, std::uint64_t life, Milliseconds now)
+NoticeRegistry::Entry* NoticeRegistry::entryOf(const std::string& backendServer, std::uint64_t life, Milliseconds now)
 {
     const auto [found, isNew] = this->entries.try_emplace(backendServer, Entry{ .life = life, .receivedAt = now });
     Entry& entry = found->second;
@@ -23,20 +23,20 @@
     return &entry;
 }
 
-const NoticeBook::Entry* NoticeBook::find(std::string_view backendServer, std::uint64_t life) const
+const NoticeRegistry::Entry* NoticeRegistry::find(std::string_view backendServer, std::uint64_t life) const
 {
     const auto found = this->entries.find(backendServer);
     return found != this->entries.end() && found->second.life == life ? &found->second : nullptr;
 }
 
-void NoticeBook::forgetOldest()
+void NoticeRegistry::forgetOldest()
 {
     const auto oldest = std::min_element(this->entries.begin(), this->entries.end(),
         [](const auto& one, const auto& other) { return one.second.receivedAt < other.second.receivedAt; });
     this->entries.erase(oldest);
 }
 
-bool NoticeBook::heardLeaving(const std::string& backendServer, std::uint64_t life, Milliseconds at)
+bool NoticeRegistry::recordLeaving(const std::string& backendServer, std::uint64_t life, Milliseconds at)
 {
     Entry* entry = this->entryOf(backendServer, life, at);
     if (!entry || entry->isLeaving)
@@ -45,13 +45,14 @@
     return true;
 }
 
-bool NoticeBook::isLeaving(std::string_view backendServer, std::uint64_t life) const
+bool NoticeRegistry::isLeaving(std::string_view backendServer, std::uint64_t life) const
 {
     const Entry* entry = this->find(backendServer, life);
     return entry && entry->isLeaving;
 }
 
-bool NoticeBook::heardPause(const std::string& backendServer, std::uint64_t life, Milliseconds until, Milliseconds at)
+bool NoticeRegistry::recordPause(
+    const std::string& backendServer, std::uint64_t life, Milliseconds until, Milliseconds at)
 {
     Entry* entry = this->entryOf(backendServer, life, at);
     if (!entry || until <= entry->pausedUntil)
@@ -60,7 +61,7 @@
     return true;
 }
 
-Milliseconds NoticeBook::pausedUntil(std::string_view backendServer, std::uint64_t life) const
+Milliseconds NoticeRegistry::pausedUntil(std::string_view backendServer, std::uint64_t life) const
 {
     const Entry* entry = this->find(backendServer, life);
     return entry ? entry->pausedUntil : LongAgo;
--- a/Source/Routing/NoticeBook.h
+++ b/Source/Routing/NoticeRegistry.h
@@ -17,7 +17,7 @@
  * returns, moves or is read in an older version, and while the store is unreachable. Only a later life of the server
  * ends it.
  */
-class NoticeBook {
+class NoticeRegistry {
 public:
     struct Options {
         /**
@@ -27,13 +27,13 @@
         std::size_t maxEntries = 8192;
     };
 
-    explicit NoticeBook(Options options);
+    explicit NoticeRegistry(Options options);
 
     /** Records that this life is shutting down; true when it was not known. */
-    bool heardLeaving(const std::string& backendServer, std::uint64_t life, Milliseconds at);
+    bool recordLeaving(const std::string& backendServer, std::uint64_t life, Milliseconds at);
     bool isLeaving(std::string_view backendServer, std::uint64_t life) const;
     /** Records that this life asked for a pause; true when it ends later than the one known so far. */
-    bool heardPause(const std::string& backendServer, std::uint64_t life, Milliseconds until, Milliseconds at);
+    bool recordPause(const std::string& backendServer, std::uint64_t life, Milliseconds until, Milliseconds at);
     /** End of the pause that this life asked for; LongAgo without one. */
     Milliseconds pausedUntil(std::string_view backendServer, std::uint64_t life) const;
 
--- a/Source/Routing/SendPermits.cpp
+++ b/Source/Routing/SendPermits.cpp
@@ -11,7 +11,7 @@
 
 }
 
-void SendPermits::limit(Milliseconds at)
+void SendPermits::setLimited(Milliseconds at)
 {
     this->limited = true;
     this->reportedAt = std::max(this->reportedAt, at);
@@ -22,7 +22,7 @@
     *this = {};
 }
 
-bool SendPermits::isWordOld(Milliseconds now) const
+bool SendPermits::isLimitStale(Milliseconds now) const
 {
     return this->limited && now - this->reportedAt > ReportInterval;
 }
@@ -46,7 +46,7 @@
     return taken;
 }
 
-void SendPermits::give(const SendPermit& permit)
+void SendPermits::add(const SendPermit& permit)
 {
     if (this->limited)
         this->permits.push_back(permit);
@@ -59,12 +59,12 @@
             this->permits.begin(), this->permits.end(), [now](const SendPermit& permit) { return now < permit.until; });
 }
 
-bool SendPermits::mayAsk(Milliseconds now) const
+bool SendPermits::mayRequestPermit(Milliseconds now) const
 {
     return this->limited && !this->isExpected(now) && now >= this->deniedUntil;
 }
 
-void SendPermits::asked(std::uint64_t number, Milliseconds due)
+void SendPermits::permitRequested(std::uint64_t number, Milliseconds due)
 {
     this->pendingRequest = number;
     this->answerDue = due;
--- a/Source/Routing/SendPermits.h
+++ b/Source/Routing/SendPermits.h
@@ -23,31 +23,31 @@
 class SendPermits {
 public:
     /** The server reported a limit at this time, for the first time or again. */
-    void limit(Milliseconds at);
+    void setLimited(Milliseconds at);
     /** The server no longer has a limit. */
     void lift();
     bool isLimited() const { return this->limited; }
     /** No instance has had a report from the server for so long that the limit may be out of date. */
-    bool isWordOld(Milliseconds now) const;
+    bool isLimitStale(Milliseconds now) const;
 
     /** True when a request may be sent now. */
     bool allows(Milliseconds now) const;
     /** Called for each request that is sent; returns the permit that it uses up, if it needs one. */
     std::optional<SendPermit> take(Milliseconds now);
     /** Adds a permit that was granted, or that was taken but not used. */
-    void give(const SendPermit& permit);
+    void add(const SendPermit& permit);
 
     /** True when there is a permit, or one has been requested and the answer is not overdue. */
     bool isExpected(Milliseconds now) const;
     /** True when a permit may be requested: none is available or requested, and no recent denial forbids it. */
-    bool mayAsk(Milliseconds now) const;
+    bool mayRequestPermit(Milliseconds now) const;
     /** A permit was requested under this number; without an answer by `answerDue` another one may be requested. */
-    void asked(std::uint64_t number, Milliseconds answerDue);
+    void permitRequested(std::uint64_t number, Milliseconds answerDue);
     bool isAwaited(std::uint64_t number) const { return this->pendingRequest && this->pendingRequest == number; }
     /** A permit was requested, and no answer came in time. */
-    bool isUnanswered(Milliseconds now) const { return this->pendingRequest && now >= this->answerDue; }
+    bool hasRequestTimedOut(Milliseconds now) const { return this->pendingRequest && now >= this->answerDue; }
     /** The answer arrived, or is no longer awaited. */
-    void answered() { this->pendingRequest = 0; }
+    void requestCompleted() { this->pendingRequest = 0; }
     /** The request was denied: no permit may be requested before this time. */
     void denied(Milliseconds until);
     /** Earliest time at which a permit may be available, as far as this instance knows. */
--- a/Source/Routing/ServicePool.cpp
+++ b/Source/Routing/ServicePool.cpp
@@ -31,9 +31,9 @@
 
 bool isReportedSlow(const BackendServerState& server, double longestWork, Milliseconds now)
 {
-    const LoadReport& report = server.report();
+    const TimedLoadReport& report = server.report();
     return now - report.at <= SlowReportValidity && server.isReportTrusted(now)
-        && report.figures.workPercent / UsualPercent > longestWork;
+        && report.load.workPercent / UsualPercent > longestWork;
 }
 
 }
@@ -102,16 +102,16 @@
     return next == Never ? now : next;
 }
 
-NoChoice ServicePool::reasonForNone(Milliseconds now) const
+NoServerReason ServicePool::reasonForNone(Milliseconds now) const
 {
     if (this->pauseEnd(now) > now)
-        return NoChoice::Paused;
+        return NoServerReason::Paused;
     const bool isLimited = std::any_of(this->list.begin(), this->list.end(), [now](const auto& server) {
         return server->takesNewRequests() && !server->isPaused(now) && server->permits().isLimited();
     });
     if (isLimited)
-        return NoChoice::Limited;
-    return this->areAllLeaving() ? NoChoice::AllLeave : NoChoice::NobodyTakes;
+        return NoServerReason::Limited;
+    return this->areAllLeaving() ? NoServerReason::AllLeaving : NoServerReason::NoneAvailable;
 }
 
 bool ServicePool::remove(std::string_view id)
@@ -150,7 +150,7 @@
 }
 
 std::vector<BackendServerState*> ServicePool::eligibleServers(
-    const ChoiceWish& wish, const RoutingContext& context) const
+    const SelectionCriteria& wish, const RoutingContext& context) const
 {
     auto found = this->serversMatching({ .excluded = wish.tried, .wantsTarget = context.wantsTarget }, context.now);
     // The target version of a rollout has few servers: the other version takes the requests that they cannot.
@@ -166,7 +166,7 @@
 }
 
 bool ServicePool::hasCapacity(
-    const BackendServerState& server, double requests, const ChoiceWish& wish, Milliseconds now) const
+    const BackendServerState& server, double requests, const SelectionCriteria& wish, Milliseconds now) const
 {
     if (!server.hasConnectionLeft())
         return false;
@@ -178,7 +178,7 @@
     if (!server.mayTakeAfterPause())
         return false;
     // Requests above this wait in the queue of this instance, from which they can still go to another server.
-    return requests < this->saturationEstimate.slotsToUse(server.slots()) * wish.limitShare;
+    return requests < this->saturationEstimate.slotsToUse(server.slots()) * wish.slotShare;
 }
 
 void ServicePool::learn(const FinishedAttempt& flight)
@@ -187,7 +187,7 @@
         this->saturationEstimate.add(flight.relativeTime, flight.slotUse);
 }
 
-Choice ServicePool::choose(const ChoiceWish& wish, const RoutingContext& context, Random& random)
+ServerChoice ServicePool::choose(const SelectionCriteria& wish, const RoutingContext& context, Random& random)
 {
     auto eligible = this->eligibleServers(wish, context);
     if (eligible.empty())
@@ -200,7 +200,7 @@
         const double requests = expectedLoadOf(*server, pool, context.now).requests;
         return !this->hasCapacity(*server, requests, wish, context.now);
     });
-    if (!wish.mayTry && candidates.size() > 1) {
+    if (!wish.mayUseTrialServers && candidates.size() > 1) {
         const bool hasOthers = std::any_of(candidates.begin(), candidates.end(),
             [](const BackendServerState* server) { return !server->isOnTrial(); });
         if (hasOthers)
@@ -210,24 +210,24 @@
     if (candidates.empty() && this->isInactive(context.now))
         candidates = eligible;
     if (candidates.empty())
-        return { .server = nullptr, .reason = NoChoice::Full };
+        return { .server = nullptr, .reason = NoServerReason::Full };
     std::erase_if(candidates,
-        [&](const BackendServerState* server) { return isReportedSlow(*server, wish.longestWork, context.now); });
+        [&](const BackendServerState* server) { return isReportedSlow(*server, wish.maxWorkFactor, context.now); });
     if (candidates.empty())
-        return { .server = nullptr, .reason = NoChoice::Slow };
+        return { .server = nullptr, .reason = NoServerReason::Slow };
     // Only an answer to a request shows whether the limit still holds: servers with a limit are not probed.
     const auto withStaleLimit = std::find_if(candidates.begin(), candidates.end(),
-        [&](const BackendServerState* server) { return server->permits().isWordOld(context.now); });
+        [&](const BackendServerState* server) { return server->permits().isLimitStale(context.now); });
     if (withStaleLimit != candidates.end())
-        return { .server = this->find((*withStaleLimit)->id()), .reason = NoChoice::Full };
-    if (wish.onlyHeard)
+        return { .server = this->find((*withStaleLimit)->id()), .reason = NoServerReason::Full };
+    if (wish.onlyWithRecentReport)
         std::erase_if(candidates, [&](const BackendServerState* server) {
             return !server->permits().isLimited() && !hasRecentReport(*server, context.now);
         });
     if (candidates.empty())
-        return { .server = nullptr, .reason = NoChoice::Unheard };
+        return { .server = nullptr, .reason = NoServerReason::NoRecentReport };
     const BackendServerState* chosen = this->policy->choose(candidates, context, random);
-    return { .server = this->find(chosen->id()), .reason = NoChoice::Full };
+    return { .server = this->find(chosen->id()), .reason = NoServerReason::Full };
 }
 
 std::vector<std::shared_ptr<BackendServerState>> ServicePool::probeCandidates(
--- a/Source/Routing/ServicePool.h
+++ b/Source/Routing/ServicePool.h
@@ -21,31 +21,31 @@
 namespace burlreach {
 
 /** Why no backend server could be chosen. */
-enum class NoChoice {
+enum class NoServerReason {
     Full, // some servers take requests, but none has a free slot now
     Slow, // some have free slots, but reported just now that work takes too long there
-    Unheard, // some may have free slots, but have not reported their load recently
+    NoRecentReport, // some may have free slots, but have not reported their load recently
     Paused, // all servers that take requests have asked for a pause
     Limited, // the servers that take requests have limits, and there is no permit for any of them
-    AllLeave, // all servers are draining or shutting down: none will take another request
-    NobodyTakes // there are no servers, or they have been replaced or their data centre emptied
+    AllLeaving, // all servers are draining or shutting down: none will take another request
+    NoneAvailable // there are no servers, or they have been replaced or their data centre emptied
 };
 
 /** The chosen backend server, or the reason why there is none. */
-struct Choice {
+struct ServerChoice {
     std::shared_ptr<BackendServerState> server;
-    NoChoice reason = NoChoice::NobodyTakes;
+    NoServerReason reason = NoServerReason::NoneAvailable;
 };
 
 /** What the chosen server must satisfy. */
-struct ChoiceWish {
+struct SelectionCriteria {
     std::span<const std::shared_ptr<BackendServerState>> tried; // servers used before; others are preferred
     bool onlyUntried = false; // excludes the tried ones altogether
-    bool mayTry = true; // a backend server on trial after an ejection may be chosen
+    bool mayUseTrialServers = true; // a backend server on trial after an ejection may be chosen
     // Excludes servers that reported just now that work takes more than this many times as long as usual.
-    double longestWork = std::numeric_limits<double>::infinity();
-    bool onlyHeard = false; // excludes servers without a recent load report, except those with a limit
-    double limitShare = 1; // share of a server's usable slots that may be filled; lower for requests of low priority
+    double maxWorkFactor = std::numeric_limits<double>::infinity();
+    bool onlyWithRecentReport = false; // excludes servers without a recent load report, except those with a limit
+    double slotShare = 1; // share of a server's usable slots that may be filled; lower for requests of low priority
 };
 
 /** Holds the backend servers of one service and chooses among them. */
@@ -87,7 +87,7 @@
         this->coldShare.sent(server, random, now);
     }
 
-    Choice choose(const ChoiceWish& wish, const RoutingContext& context, Random& random);
+    ServerChoice choose(const SelectionCriteria& wish, const RoutingContext& context, Random& random);
     /** At most so many servers that are worth probing before a choice, in order of their score, best first. */
     std::vector<std::shared_ptr<BackendServerState>> probeCandidates(
         std::size_t most, const RoutingContext& context, Random& random) const;
@@ -105,8 +105,9 @@
 private:
     /** True when no request is in flight at any server and none has reported for some time. */
     bool isInactive(Milliseconds now) const;
-    bool hasCapacity(const BackendServerState& server, double requests, const ChoiceWish& wish, Milliseconds now) const;
-    NoChoice reasonForNone(Milliseconds now) const;
+    bool hasCapacity(
+        const BackendServerState& server, double requests, const SelectionCriteria& wish, Milliseconds now) const;
+    NoServerReason reasonForNone(Milliseconds now) const;
     /** Which servers are eligible. */
     struct ServerFilter {
         std::span<const std::shared_ptr<BackendServerState>> excluded;
@@ -115,7 +116,8 @@
         bool withLimited = true; // includes servers with a limit that have a permit now
     };
 
-    std::vector<BackendServerState*> eligibleServers(const ChoiceWish& wish, const RoutingContext& context) const;
+    std::vector<BackendServerState*> eligibleServers(
+        const SelectionCriteria& wish, const RoutingContext& context) const;
     std::vector<BackendServerState*> serversMatching(const ServerFilter& filter, Milliseconds now) const;
 
     Options options;
--- a/Source/Routing/WeightedTurn.cpp
+++ b/Source/Routing/WeightedRoundRobin.cpp
@@ -1,4 +1,4 @@
-#include "Routing/WeightedTurn.h"
+#include "Routing/WeightedRoundRobin.h"
 
 #include <algorithm>
 #include <cmath>
@@ -14,7 +14,7 @@
 
 }
 
-WeightedTurn::WeightedTurn(std::span<const WeightedService> services, double start)
+WeightedRoundRobin::WeightedRoundRobin(std::span<const WeightedService> services, double start)
 {
     std::uint32_t divisor = 0;
     for (const WeightedService& service : services) {
@@ -29,7 +29,7 @@
         this->assignNext();
 }
 
-WeightedTurn::Target& WeightedTurn::assignNext()
+WeightedRoundRobin::Target& WeightedRoundRobin::assignNext()
 {
     for (Target& target : this->targets)
         target.credit += target.service.weight / std::max(this->totalWeight, 1.0);
@@ -39,7 +39,7 @@
     return owed;
 }
 
-const std::string& WeightedTurn::next()
+const std::string& WeightedRoundRobin::next()
 {
     const Target& owed = this->assignNext();
     if (owed.sentCredit > -MaxOverage)
@@ -49,7 +49,7 @@
     return mostBehind->service.service;
 }
 
-void WeightedTurn::sent(const std::string& service)
+void WeightedRoundRobin::sent(const std::string& service)
 {
     for (Target& target : this->targets) {
         target.sentCredit += target.service.weight / std::max(this->totalWeight, 1.0);
@@ -58,7 +58,7 @@
     }
 }
 
-bool WeightedTurn::isFor(std::span<const WeightedService> services) const
+bool WeightedRoundRobin::isFor(std::span<const WeightedService> services) const
 {
     return std::equal(this->targets.begin(), this->targets.end(), services.begin(), services.end(),
         [](const Target& target, const WeightedService& service) {
--- a/Source/Routing/WeightedTurn.h
+++ b/Source/Routing/WeightedRoundRobin.h
@@ -18,10 +18,10 @@
  * than others, the others get at most a request or two beyond their share, so that the weights hold for the requests
  * that are served.
  */
-class WeightedTurn {
+class WeightedRoundRobin {
 public:
     /** `start` is the point of the order to start at, from 0 to below 1. */
-    WeightedTurn(std::span<const WeightedService> services, double start);
+    WeightedRoundRobin(std::span<const WeightedService> services, double start);
 
     /** The service that the next request goes to. */
     const std::string& next();
--- a/Source/Settings/SettingsSection.cpp
+++ b/Source/Settings/SettingsSection.cpp
@@ -1,6 +1,6 @@
 #include "Settings/SettingsSection.h"
 
-#include "Base/SpanText.h"
+#include "Base/DurationText.h"
 
 namespace burlreach {
 
@@ -146,7 +146,7 @@
     const nlohmann::json* found = this->find(key);
     if (!found)
         return;
-    const auto read = found->is_string() ? parseSpan(found->get<std::string>()) : std::nullopt;
+    const auto read = found->is_string() ? parseDuration(found->get<std::string>()) : std::nullopt;
     if (found->is_string() && !read) {
         this->findings->add(this->placeOf(key), "is no span; write one such as \"1500ms\" or \"2.5s\"");
         return;
--- a/Source/Store/StoreReader.cpp
+++ b/Source/Store/StoreReader.cpp
@@ -66,7 +66,7 @@
     return this->historyLost || !this->pages.empty() || !this->view->revision();
 }
 
-StoreNews StoreReader::answered(const StoreAnswer& answer, Milliseconds now)
+StoreUpdate StoreReader::answered(const StoreAnswer& answer, Milliseconds now)
 {
     if (answer.number != this->pending)
         return {};
@@ -83,17 +83,17 @@
                                                            : this->handlePage(answer, now);
 }
 
-StoreNews StoreReader::handleFailure(StoreStatus status, Milliseconds now)
+StoreUpdate StoreReader::handleFailure(StoreStatus status, Milliseconds now)
 {
     if (status == StoreStatus::Unknown)
         this->currentReadTimeout = std::min(this->currentReadTimeout * 2, this->options.longestReadTimeout);
     this->pausedUntil = now + this->backoff.next(*this->random);
-    StoreNews update;
+    StoreUpdate update;
     update.isFailure = true;
     return update;
 }
 
-StoreNews StoreReader::handlePage(const StoreAnswer& answer, Milliseconds now)
+StoreUpdate StoreReader::handlePage(const StoreAnswer& answer, Milliseconds now)
 {
     this->latency = now - this->sentAt;
     // The pages are not one snapshot: a later page may show a later revision or, if stale, an earlier one.
@@ -101,7 +101,7 @@
     this->pages.insert(this->pages.end(), answer.items.begin(), answer.items.end());
     if (answer.more && !answer.items.empty())
         return {};
-    StoreNews update;
+    StoreUpdate update;
     update.changes = this->view->replaceAll(this->pages, this->pagesRevision);
     update.isConfirmed = !this->pagesMayBeStale;
     update.isStaleReading = this->pagesMayBeStale;
@@ -111,13 +111,13 @@
     return update;
 }
 
-StoreNews StoreReader::handleWatch(const StoreAnswer& answer, Milliseconds now)
+StoreUpdate StoreReader::handleWatch(const StoreAnswer& answer, Milliseconds now)
 {
     if (!answer.items.empty())
         this->pausedUntil = now + this->options.watchGap;
     else
         this->latency = std::max(Milliseconds{}, now - this->sentAt - this->options.watchWait);
-    StoreNews update;
+    StoreUpdate update;
     update.changes = this->view->applyChanges(answer.items, answer.at);
     update.isConfirmed = true;
     update.confirmedAt = std::max(this->sentAt, now - this->latency);
--- a/Source/Store/StoreReader.h
+++ b/Source/Store/StoreReader.h
@@ -15,7 +15,7 @@
 namespace burlreach {
 
 /** The effect of an answer of the store on the view. */
-struct StoreNews {
+struct StoreUpdate {
     std::vector<StoreItem> changes;
     bool isConfirmed = false; // the answer shows that the view was complete at confirmedAt
     Milliseconds confirmedAt = LongAgo;
@@ -49,7 +49,7 @@
 
     /** The next call to the store, if one is due. */
     std::optional<StoreRequest> next(Milliseconds now, bool shouldWatch);
-    StoreNews answered(const StoreAnswer& answer, Milliseconds now);
+    StoreUpdate answered(const StoreAnswer& answer, Milliseconds now);
 
     /** A call is under way. */
     bool isAsking() const { return this->pending != 0; }
@@ -60,9 +60,9 @@
 
 private:
     StoreRequest newRequest(StoreOperation operation, Milliseconds now);
-    StoreNews handleFailure(StoreStatus status, Milliseconds now);
-    StoreNews handlePage(const StoreAnswer& answer, Milliseconds now);
-    StoreNews handleWatch(const StoreAnswer& answer, Milliseconds now);
+    StoreUpdate handleFailure(StoreStatus status, Milliseconds now);
+    StoreUpdate handlePage(const StoreAnswer& answer, Milliseconds now);
+    StoreUpdate handleWatch(const StoreAnswer& answer, Milliseconds now);
     bool mustRead() const;
     /** The view is still empty: neither the store nor another instance has filled it. */
     bool isFirstReading() const { return !this->historyLost && !this->view->revision(); }
--- a/Source/StoreClient/HttpStoreClient.cpp
+++ b/Source/StoreClient/HttpStoreClient.cpp
@@ -17,7 +17,7 @@
 }
 
 HttpStoreClient::HttpStoreClient(asio::io_context& givenContext, const NetworkAddress& givenAddress,
-    const StoreWire& givenWire, const Clock& givenClock, EventSink& givenSink)
+    const StoreProtocol& givenWire, const Clock& givenClock, EventSink& givenSink)
     : context(&givenContext)
     , address(givenAddress)
     , wire(&givenWire)
@@ -26,7 +26,7 @@
 {
 }
 
-void HttpStoreClient::ask(const StoreRequest& request)
+void HttpStoreClient::startCall(const StoreRequest& request)
 {
     HttpRequest message = this->wire->encode(request);
     message.set(boost::beast::http::field::host, this->address.text());
--- a/Source/StoreClient/HttpStoreClient.h
+++ b/Source/StoreClient/HttpStoreClient.h
@@ -5,7 +5,7 @@
 #include "Http/HttpConnectionPool.h"
 #include "Http/HttpExchange.h"
 #include "Node/EventSink.h"
-#include "StoreClient/StoreWire.h"
+#include "StoreClient/StoreProtocol.h"
 
 #include <array>
 #include <asio/io_context.hpp>
@@ -25,13 +25,13 @@
  */
 class HttpStoreClient {
 public:
-    HttpStoreClient(asio::io_context& context, const NetworkAddress& address, const StoreWire& wire, const Clock& clock,
-        EventSink& sink);
+    HttpStoreClient(asio::io_context& context, const NetworkAddress& address, const StoreProtocol& wire,
+        const Clock& clock, EventSink& sink);
 
     /** Starts a call; its result is posted as StoreAnswered. */
-    void ask(const StoreRequest& request);
+    void startCall(const StoreRequest& request);
     /** Closes expired idle connections. */
-    void tend() { this->connections.closeExpired(); }
+    void closeExpiredConnections() { this->connections.closeExpired(); }
     /** Cancels all calls; no further results are posted. */
     void stop();
     const StoreCallCounts& counts() const { return this->callCounts; }
@@ -41,7 +41,7 @@
 
     asio::io_context* context;
     NetworkAddress address;
-    const StoreWire* wire;
+    const StoreProtocol* wire;
     EventSink* sink;
     HttpConnectionPool connections;
     std::unordered_map<StoreCallNumber, std::shared_ptr<HttpExchange>> callsInFlight;
--- a/Source/StoreClient/OwnStoreWire.cpp
+++ b/Source/StoreClient/NativeStoreProtocol.cpp
@@ -1,4 +1,4 @@
-#include "StoreClient/OwnStoreWire.h"
+#include "StoreClient/NativeStoreProtocol.h"
 
 #include <nlohmann/json.hpp>
 
@@ -50,7 +50,7 @@
 
 }
 
-HttpRequest OwnStoreWire::encode(const StoreRequest& request) const
+HttpRequest NativeStoreProtocol::encode(const StoreRequest& request) const
 {
     const std::string path = "/store/v1/" + std::string(nameOf(request.operation));
     HttpRequest message(http::verb::post, path, HttpVersion);
@@ -59,7 +59,7 @@
     return message;
 }
 
-StoreAnswer OwnStoreWire::decode(const StoreRequest& request, const HttpResponse& response) const
+StoreAnswer NativeStoreProtocol::decode(const StoreRequest& request, const HttpResponse& response) const
 {
     StoreAnswer answer;
     answer.number = request.number;
--- a/Source/Traffic/FieldValues.cpp
+++ b/Source/Traffic/FieldValues.cpp
@@ -35,9 +35,9 @@
 
 }
 
-std::optional<LoadFigures> parseLoad(std::string_view text)
+std::optional<ReportedLoad> parseLoad(std::string_view text)
 {
-    LoadFigures figures;
+    ReportedLoad figures;
     const std::array<std::uint32_t*, 4> fields{ &figures.running, &figures.waiting, &figures.slots,
         &figures.workPercent };
     for (std::uint32_t* field : fields) {
--- a/Source/Traffic/FieldValues.h
+++ b/Source/Traffic/FieldValues.h
@@ -8,7 +8,7 @@
 namespace burlreach {
 
 /** Parses "RUNNING,WAITING,SLOTS,PERCENT"; values may be missing at the end. Returns nothing for any other text. */
-std::optional<LoadFigures> parseLoad(std::string_view text);
+std::optional<ReportedLoad> parseLoad(std::string_view text);
 
 /** Parses a whole number of milliseconds; returns nothing for any other text. */
 std::optional<Milliseconds> parseMilliseconds(std::string_view text);
--- a/Source/Traffic/OwnTrafficDialect.cpp
+++ b/Source/Traffic/NativeTrafficDialect.cpp
@@ -1,4 +1,4 @@
-#include "Traffic/OwnTrafficDialect.h"
+#include "Traffic/NativeTrafficDialect.h"
 
 #include "Traffic/FieldValues.h"
 #include "Traffic/NamedLimit.h"
@@ -30,12 +30,12 @@
 
 }
 
-bool OwnTrafficDialect::variesByAttempt(std::string_view field) const
+bool NativeTrafficDialect::variesByAttempt(std::string_view field) const
 {
     return boost::beast::iequals(field, RequestIdHeader) || boost::beast::iequals(field, DeadlineHeader);
 }
 
-CallerFields OwnTrafficDialect::readCaller(const HttpRequest& request) const
+CallerFields NativeTrafficDialect::readCaller(const HttpRequest& request) const
 {
     CallerFields fields;
     fields.requestId = valueOf(request, RequestIdHeader);
@@ -48,31 +48,31 @@
     return fields;
 }
 
-void OwnTrafficDialect::writeAttempt(HttpRequest& request, const AttemptFields& fields) const
+void NativeTrafficDialect::writeAttempt(HttpRequest& request, const AttemptFields& fields) const
 {
     setField(request, DeadlineHeader, formatMilliseconds(fields.timeLeft));
     setField(request, BackendServerHeader, fields.backendServer);
     writeCustomer(request, CustomerHeader, fields.customer);
 }
 
-void OwnTrafficDialect::writeProbe(HttpRequest& request, const std::string& backendServer) const
+void NativeTrafficDialect::writeProbe(HttpRequest& request, const std::string& backendServer) const
 {
     setField(request, BackendServerHeader, backendServer);
 }
 
-bool OwnTrafficDialect::isKnownAnswerField(std::string_view field) const
+bool NativeTrafficDialect::isKnownAnswerField(std::string_view field) const
 {
     return std::any_of(AnswerFields.begin(), AnswerFields.end(),
         [field](const char* known) { return boost::beast::iequals(field, known); });
 }
 
-bool OwnTrafficDialect::isAnswerTo(const HttpResponse& response, std::string_view requestId) const
+bool NativeTrafficDialect::isAnswerTo(const HttpResponse& response, std::string_view requestId) const
 {
     const std::string_view answeredId = valueOf(response, RequestIdHeader);
     return answeredId.empty() || answeredId == requestId;
 }
 
-ServerNotice OwnTrafficDialect::readNotice(const HttpResponse& response, std::string_view) const
+ServerNotice NativeTrafficDialect::readNotice(const HttpResponse& response, std::string_view) const
 {
     if (resultOf(response) == AttemptResult::OtherServer)
         return {};
@@ -84,7 +84,7 @@
     return notice;
 }
 
-AttemptEnd OwnTrafficDialect::readAnswer(const HttpResponse& response, std::string_view) const
+AttemptEnd NativeTrafficDialect::readAnswer(const HttpResponse& response, std::string_view) const
 {
     AttemptEnd end;
     end.result = resultOf(response);
@@ -92,11 +92,12 @@
     end.load = parseLoad(valueOf(response, LoadHeader));
     if (valueOf(response, LoadHeader).empty())
         end.load.reset();
-    end.isPromise = end.result == AttemptResult::ErrorAnswer && response.result() == http::status::service_unavailable;
+    end.claimsNotRun
+        = end.result == AttemptResult::ErrorAnswer && response.result() == http::status::service_unavailable;
     return end;
 }
 
-ProbeEnd OwnTrafficDialect::readProbe(const HttpResponse& response, std::string_view backendServer) const
+ProbeEnd NativeTrafficDialect::readProbe(const HttpResponse& response, std::string_view backendServer) const
 {
     const AttemptEnd answer = this->readAnswer(response, backendServer);
     ProbeEnd end;
@@ -106,19 +107,19 @@
     return end;
 }
 
-void OwnTrafficDialect::writeAnswer(HttpResponse& response) const
+void NativeTrafficDialect::writeAnswer(HttpResponse& response) const
 {
     setField(response, OutcomeHeader, "answered");
 }
 
-HttpResponse OwnTrafficDialect::makeRefusal(const RefuseRequest& refusal, std::string_view requestId) const
+HttpResponse NativeTrafficDialect::makeRefusal(const RefuseRequest& refusal, std::string_view requestId) const
 {
     HttpResponse response(statusOf(refusal), 11);
     if (!requestId.empty())
         setField(response, RequestIdHeader, requestId);
     setField(response, OutcomeHeader, refusal.outcome == RefusedOutcome::NotRun ? "not-run" : "unknown");
     setField(response, ReasonHeader, nameOf(refusal.reason));
-    setField(response, "Retry-After", formatSeconds(refusal.comeBackAfter));
+    setField(response, "Retry-After", formatSeconds(refusal.retryAfter));
     if (response.result() == http::status::unauthorized)
         setField(response, "WWW-Authenticate", "Bearer");
     setField(response, "Content-Type", "text/plain; charset=utf-8");
--- a/Source/Traffic/OwnTrafficDialect.h
+++ b/Source/Traffic/NativeTrafficDialect.h
@@ -5,7 +5,7 @@
 namespace burlreach {
 
 /** burlreach's own header fields (docs/OPERATIONS.md). */
-class OwnTrafficDialect final : public TrafficDialect {
+class NativeTrafficDialect final : public TrafficDialect {
 public:
     CallerFields readCaller(const HttpRequest& request) const override;
     bool variesByAttempt(std::string_view field) const override;
--- a/Source/Traffic/RequestDesk.cpp
+++ b/Source/Traffic/RequestForwarder.cpp
@@ -1,6 +1,6 @@
-#include "Traffic/RequestDesk.h"
+#include "Traffic/RequestForwarder.h"
 
-#include "Admission/ComeBackTime.h"
+#include "Admission/RetryAfterDelay.h"
 #include "Base/ChronoDuration.h"
 #include "Traffic/StableFields.h"
 
@@ -38,19 +38,19 @@
 
 }
 
-RequestDesk::RequestDesk(asio::io_context& givenContext, Options givenOptions, Parts givenParts)
+RequestForwarder::RequestForwarder(asio::io_context& givenContext, Options givenOptions, Dependencies givenParts)
     : context(&givenContext)
     , options(std::move(givenOptions))
-    , parts(givenParts)
+    , dependencies(givenParts)
     , listener(givenContext, *this, *givenParts.clock)
     , acceptTimer(givenContext)
     , connections({}, *givenParts.clock)
 {
     this->listener.setLimits(this->options.limits);
-    this->listener.setMaxSessions(this->options.mostSessions);
+    this->listener.setMaxSessions(this->options.maxSessions);
 }
 
-std::error_code RequestDesk::start()
+std::error_code RequestForwarder::start()
 {
     if (const auto error = this->listener.listen(this->options.address))
         return error;
@@ -62,19 +62,19 @@
     return {};
 }
 
-void RequestDesk::tend()
+void RequestForwarder::runMaintenance()
 {
-    this->listener.tend();
+    this->listener.closeExpiredSessions();
     this->connections.closeExpired();
-    this->parts.metrics->openSessions = this->listener.sessions();
-    this->parts.metrics->sessionsRefused = this->listener.refusedSessions();
+    this->dependencies.metrics->openSessions = this->listener.sessions();
+    this->dependencies.metrics->sessionsRefused = this->listener.refusedSessions();
 }
 
-void RequestDesk::requestRead(const std::shared_ptr<HttpSession>& session, ReadRequest read)
+void RequestForwarder::requestReceived(const std::shared_ptr<HttpSession>& session, ReceivedRequest read)
 {
     HttpRequest& message = read.message;
-    const CallerFields fields = this->parts.dialect->readCaller(message);
-    const Milliseconds now = this->parts.clock->now();
+    const CallerFields fields = this->dependencies.dialect->readCaller(message);
+    const Milliseconds now = this->dependencies.clock->now();
     const RequestNumber number = ++this->lastNumber;
     RequestArrived event;
     event.request = number;
@@ -90,7 +90,7 @@
     event.digest = digestOf({ .host = event.host,
         .method = event.method,
         .path = event.path,
-        .fields = hashStableFields(message, *this->parts.dialect),
+        .fields = hashStableFields(message, *this->dependencies.dialect),
         .body = message.body() });
     Request& request = this->requests[number];
     request.session = session;
@@ -99,35 +99,35 @@
     request.requestId = fields.requestId;
     request.arrivedAt = now;
     this->requestsBySession.emplace(session->number(), number);
-    this->parts.metrics->openRequests = this->requests.size();
+    this->dependencies.metrics->openRequests = this->requests.size();
     if (fields.isValid)
-        return this->parts.sink->post(event);
-    this->parts.sink->post(RefusedEarly{ .reason = RefusalReason::BadRequest });
+        return this->dependencies.sink->post(event);
+    this->dependencies.sink->post(RefusedEarly{ .reason = RefusalReason::BadRequest });
     this->execute(RefuseRequest{ .request = number,
         .outcome = RefusedOutcome::NotRun,
         .reason = RefusalReason::BadRequest,
-        .comeBackAfter = UsualComeBack });
+        .retryAfter = DefaultRetryAfter });
 }
 
-void RequestDesk::requestUnreadable(
+void RequestForwarder::requestUnreadable(
     const std::shared_ptr<HttpSession>& session, HttpRequestNumber request, HttpRequestProblem problem)
 {
-    this->parts.sink->post(RefusedEarly{ .reason = reasonOf(problem) });
+    this->dependencies.sink->post(RefusedEarly{ .reason = reasonOf(problem) });
     session->answer(request, HttpResponse(statusOf(problem), HttpVersion));
 }
 
-bool RequestDesk::mayStartEarly(const HttpRequest& request) const
+bool RequestForwarder::mayStartEarly(const HttpRequest& request) const
 {
-    return this->parts.repeats
-        && this->parts.repeats->mayRepeat(valueOf(request, "Host"), request.method_string(), request.target());
+    return this->dependencies.repeats
+        && this->dependencies.repeats->mayRepeat(valueOf(request, "Host"), request.method_string(), request.target());
 }
 
-void RequestDesk::sessionRefused()
+void RequestForwarder::sessionRefused()
 {
-    this->parts.sink->post(RefusedEarly{ .reason = RefusalReason::TooManySessions });
+    this->dependencies.sink->post(RefusedEarly{ .reason = RefusalReason::TooManySessions });
 }
 
-void RequestDesk::callerGone(const std::shared_ptr<HttpSession>& session)
+void RequestForwarder::callerGone(const std::shared_ptr<HttpSession>& session)
 {
     std::vector<RequestNumber> gone;
     const auto [first, end] = this->requestsBySession.equal_range(session->number());
@@ -136,13 +136,13 @@
     this->requestsBySession.erase(session->number());
     for (const RequestNumber number : gone) {
         // Posted before the request is erased, because handling the event cancels the request's attempts.
-        this->parts.sink->post(CallerGone{ .request = number });
+        this->dependencies.sink->post(CallerGone{ .request = number });
         this->requests.erase(number);
     }
-    this->parts.metrics->openRequests = this->requests.size();
+    this->dependencies.metrics->openRequests = this->requests.size();
 }
 
-void RequestDesk::removeFromSession(std::uint64_t session, RequestNumber number)
+void RequestForwarder::removeFromSession(std::uint64_t session, RequestNumber number)
 {
     const auto [first, end] = this->requestsBySession.equal_range(session);
     const auto found = std::find_if(first, end, [number](const auto& item) { return item.second == number; });
@@ -150,19 +150,19 @@
         this->requestsBySession.erase(found);
 }
 
-HttpRequest RequestDesk::makeForwardedRequest(const Request& request, const SendAttempt& action) const
+HttpRequest RequestForwarder::makeForwardedRequest(const Request& request, const SendAttempt& action) const
 {
     HttpRequest message = request.message;
     removeHopByHopFields(message);
     message.version(HttpVersion);
-    this->parts.dialect->writeAttempt(message,
+    this->dependencies.dialect->writeAttempt(message,
         { .backendServer = action.backendServer,
             .timeLeft = action.timeLeft,
-            .customer = { .withholdsKey = action.isKeyKept, .customer = action.customer } });
+            .customer = { .withholdsKey = action.withholdsKey, .customer = action.customer } });
     return message;
 }
 
-void RequestDesk::execute(const SendAttempt& action)
+void RequestForwarder::execute(const SendAttempt& action)
 {
     const auto found = this->requests.find(action.request);
     if (found == this->requests.end())
@@ -173,9 +173,9 @@
     exchange.request = encode(this->makeForwardedRequest(request, action));
     exchange.isHeadRequest = request.message.method() == http::verb::head;
     exchange.connectTimeout = this->options.connectTimeout;
-    exchange.isAnswerToRequest = [dialect = this->parts.dialect, id = request.requestId](
+    exchange.isAnswerToRequest = [dialect = this->dependencies.dialect, id = request.requestId](
                                      const HttpResponse& response) { return dialect->isAnswerTo(response, id); };
-    const Milliseconds now = this->parts.clock->now();
+    const Milliseconds now = this->dependencies.clock->now();
     exchange.headerReceived
         = [this, server = action.backendServer, life = action.life, now](
               const HttpResponse& header) { this->answerHeaderReceived(server, life, now, header); };
@@ -188,28 +188,28 @@
         [this, number, attempt](HttpExchangeEnd end) { this->attemptEnded(number, attempt, std::move(end)); });
     const Milliseconds longestIdle = action.mayRepeat ? Never : this->options.maxIdleForRunOnce;
     auto kept = this->connections.take(action.backendServer, longestIdle);
-    ++(kept ? this->parts.metrics->connectionsReused : this->parts.metrics->connectionsOpened);
+    ++(kept ? this->dependencies.metrics->connectionsReused : this->dependencies.metrics->connectionsOpened);
     started.exchange->start(std::move(kept));
 }
 
-void RequestDesk::answerHeaderReceived(
+void RequestForwarder::answerHeaderReceived(
     const std::string& backendServer, std::uint64_t life, Milliseconds sentAt, const HttpResponse& header)
 {
     // The notice is not left to the end of the attempt: the server of a retry is chosen there, the body may take long
     // or break off, and a late answer to another request never ends an attempt.
-    const ServerNotice notice = this->parts.dialect->readNotice(header, backendServer);
+    const ServerNotice notice = this->dependencies.dialect->readNotice(header, backendServer);
     if (!notice.isEmpty())
-        this->parts.sink->post(
+        this->dependencies.sink->post(
             ServerNoticed{ .backendServer = backendServer, .life = life, .notice = notice, .sentAt = sentAt });
-    for (UnreadField& field : this->unreadFields.findNew(header, *this->parts.dialect))
-        this->parts.sink->post(UnreadFieldSeen{
+    for (UnreadField& field : this->unreadFields.findNew(header, *this->dependencies.dialect))
+        this->dependencies.sink->post(UnreadFieldSeen{
             .backendServer = backendServer, .field = std::move(field.name), .value = std::move(field.value) });
 }
 
-AttemptEnd RequestDesk::attemptEndOf(const HttpExchangeEnd& end, const std::string& backendServer) const
+AttemptEnd RequestForwarder::attemptEndOf(const HttpExchangeEnd& end, const std::string& backendServer) const
 {
     if (end.response)
-        return this->parts.dialect->readAnswer(*end.response, backendServer);
+        return this->dependencies.dialect->readAnswer(*end.response, backendServer);
     AttemptEnd failed;
     const bool isNotSent = end.result == HttpExchangeResult::NotSent;
     failed.result = isNotSent ? AttemptResult::NotSent : AttemptResult::Broken;
@@ -218,7 +218,7 @@
     return failed;
 }
 
-void RequestDesk::attemptEnded(RequestNumber number, AttemptNumber attempt, HttpExchangeEnd end)
+void RequestForwarder::attemptEnded(RequestNumber number, AttemptNumber attempt, HttpExchangeEnd end)
 {
     const auto found = this->requests.find(number);
     if (found == this->requests.end())
@@ -232,19 +232,19 @@
     this->returnConnection(ended.backendServer, end);
     ended.response = std::move(end.response);
     ended.exchange.reset();
-    const Milliseconds took = this->parts.clock->now() - ended.sentAt;
+    const Milliseconds took = this->dependencies.clock->now() - ended.sentAt;
     found->second.atBackendServer = took;
-    this->parts.metrics->atBackendServer.add(took);
-    this->parts.sink->post(event);
+    this->dependencies.metrics->atBackendServer.add(took);
+    this->dependencies.sink->post(event);
 }
 
-void RequestDesk::returnConnection(const std::string& backendServer, HttpExchangeEnd& end)
+void RequestForwarder::returnConnection(const std::string& backendServer, HttpExchangeEnd& end)
 {
     if (end.connection)
         this->connections.add(backendServer, std::move(end.connection));
 }
 
-void RequestDesk::execute(const CancelAttempt& action)
+void RequestForwarder::execute(const CancelAttempt& action)
 {
     const auto found = this->requests.find(action.request);
     if (found == this->requests.end())
@@ -256,7 +256,7 @@
     attempt->second.exchange.reset();
 }
 
-void RequestDesk::execute(const PassAnswer& action)
+void RequestForwarder::execute(const ForwardAnswer& action)
 {
     const auto found = this->requests.find(action.request);
     if (found == this->requests.end())
@@ -265,65 +265,66 @@
     if (!response)
         return;
     removeHopByHopFields(*response);
-    this->parts.dialect->writeAnswer(*response);
-    this->parts.metrics->answered.add(this->parts.clock->now() - found->second.arrivedAt);
+    this->dependencies.dialect->writeAnswer(*response);
+    this->dependencies.metrics->answered.add(this->dependencies.clock->now() - found->second.arrivedAt);
     this->sendAnswer(action.request, std::move(*response));
 }
 
-void RequestDesk::execute(const RefuseRequest& action)
+void RequestForwarder::execute(const RefuseRequest& action)
 {
     const auto found = this->requests.find(action.request);
     if (found == this->requests.end())
         return;
-    this->parts.metrics->refused.add(this->parts.clock->now() - found->second.arrivedAt);
-    this->sendAnswer(action.request, this->parts.dialect->makeRefusal(action, found->second.requestId));
+    this->dependencies.metrics->refused.add(this->dependencies.clock->now() - found->second.arrivedAt);
+    this->sendAnswer(action.request, this->dependencies.dialect->makeRefusal(action, found->second.requestId));
 }
 
-void RequestDesk::sendAnswer(RequestNumber number, HttpResponse response)
+void RequestForwarder::sendAnswer(RequestNumber number, HttpResponse response)
 {
     const auto found = this->requests.find(number);
     const auto session = found->second.session.lock();
     const HttpRequestNumber answeredRequest = found->second.sessionRequest;
-    const Milliseconds total = this->parts.clock->now() - found->second.arrivedAt;
-    this->parts.metrics->added.add(total - std::min(total, found->second.atBackendServer));
+    const Milliseconds total = this->dependencies.clock->now() - found->second.arrivedAt;
+    this->dependencies.metrics->added.add(total - std::min(total, found->second.atBackendServer));
     for (auto& [attempt, item] : found->second.attempts) {
         if (item.exchange)
             item.exchange->cancel();
     }
     this->requests.erase(found);
-    this->parts.metrics->openRequests = this->requests.size();
+    this->dependencies.metrics->openRequests = this->requests.size();
     if (!session)
         return;
     this->removeFromSession(session->number(), number);
     session->answer(answeredRequest, std::move(response));
 }
 
-void RequestDesk::execute(const SendProbe& action)
+void RequestForwarder::execute(const SendProbe& action)
 {
     auto kept = this->connections.take(action.probe.backendServer, Never);
-    ++(kept ? this->parts.metrics->connectionsReused : this->parts.metrics->connectionsOpened);
+    ++(kept ? this->dependencies.metrics->connectionsReused : this->dependencies.metrics->connectionsOpened);
     this->startProbe(action.probe, std::move(kept));
 }
 
-void RequestDesk::startProbe(const Probe& probe, std::shared_ptr<HttpConnection> kept)
+void RequestForwarder::startProbe(const Probe& probe, std::shared_ptr<HttpConnection> kept)
 {
     HttpRequest message(http::verb::get, probe.path, HttpVersion);
     message.set(http::field::host, probe.address.text());
-    this->parts.dialect->writeProbe(message, probe.backendServer);
+    this->dependencies.dialect->writeProbe(message, probe.backendServer);
     HttpExchange::Options options;
     options.address = probe.address;
     options.request = encode(std::move(message));
     options.connectTimeout = this->options.connectTimeout;
     options.timeout = probe.timeout;
-    options.headerReceived = [this, server = probe.backendServer, life = probe.life, now = this->parts.clock->now()](
-                                 const HttpResponse& header) { this->answerHeaderReceived(server, life, now, header); };
+    options.headerReceived
+        = [this, server = probe.backendServer, life = probe.life, now = this->dependencies.clock->now()](
+              const HttpResponse& header) { this->answerHeaderReceived(server, life, now, header); };
     const bool wasKept = kept != nullptr;
     const auto exchange = std::make_shared<HttpExchange>(*this->context, std::move(options),
         [this, probe, wasKept](HttpExchangeEnd end) { this->probeEnded(probe, wasKept, std::move(end)); });
     exchange->start(std::move(kept));
 }
 
-void RequestDesk::probeEnded(const Probe& probe, bool wasKept, HttpExchangeEnd end)
+void RequestForwarder::probeEnded(const Probe& probe, bool wasKept, HttpExchangeEnd end)
 {
     const bool wasClosed = end.result == HttpExchangeResult::Broken || end.result == HttpExchangeResult::NotSent;
     // The server may have closed the idle connection just before the probe was sent; try a new connection.
@@ -331,27 +332,27 @@
         return this->startProbe(probe, nullptr);
     ProbeEnd ended;
     if (end.response)
-        ended = this->parts.dialect->readProbe(*end.response, probe.backendServer);
+        ended = this->dependencies.dialect->readProbe(*end.response, probe.backendServer);
     this->returnConnection(probe.backendServer, end);
-    this->parts.sink->post(ProbeEnded{ .probe = probe.number, .end = ended });
+    this->dependencies.sink->post(ProbeEnded{ .probe = probe.number, .end = ended });
 }
 
-void RequestDesk::execute(const CheckServer& action)
+void RequestForwarder::execute(const CheckServer& action)
 {
     openConnection(*this->context, action.address, this->options.connectTimeout,
         [this, server = action.backendServer](const asio::error_code& error, std::shared_ptr<HttpConnection> opened) {
-            ServerChecked checked{ .backendServer = server, .result = ServerCheck::CameUp };
+            ServerChecked checked{ .backendServer = server, .result = ServerCheck::Connected };
             if (error == asio::error::connection_refused)
-                checked.result = ServerCheck::NobodyListens;
+                checked.result = ServerCheck::ConnectionRefused;
             else if (error)
                 checked.result = ServerCheck::NoAnswer;
             if (opened)
                 this->connections.add(server, std::move(opened));
-            this->parts.sink->post(checked);
+            this->dependencies.sink->post(checked);
         });
 }
 
-void RequestDesk::execute(const StopSendingTo& action)
+void RequestForwarder::execute(const StopSendingTo& action)
 {
     if (!action.keepsConnections)
         this->connections.closeAll(action.backendServer);
@@ -367,7 +368,7 @@
         exchange->abortUnsent();
 }
 
-void RequestDesk::execute(const SetCallerLimits& action)
+void RequestForwarder::execute(const SetCallerLimits& action)
 {
     this->acceptTimer.cancel();
     this->listener.beginAccepting();
--- a/Source/Traffic/RequestDesk.h
+++ b/Source/Traffic/RequestForwarder.h
@@ -29,11 +29,11 @@
  * the actions that Node decides on. Also sends probes and checks whether a
  * server accepts connections. Requests and answers are buffered whole.
  */
-class RequestDesk final : private HttpSessionHandler {
+class RequestForwarder final : private HttpSessionHandler {
 public:
     struct Options {
         NetworkAddress address;
-        std::size_t mostSessions = 4000;
+        std::size_t maxSessions = 4000;
         HttpSessionLimits limits; // in force until the first configuration
         Milliseconds connectTimeout{ 250 };
         /**
@@ -46,7 +46,7 @@
         Milliseconds maxIdleForRunOnce{ 1000 };
     };
 
-    struct Parts {
+    struct Dependencies {
         const TrafficDialect* dialect = nullptr;
         const Clock* clock = nullptr;
         EventSink* sink = nullptr;
@@ -54,7 +54,7 @@
         TrafficMetrics* metrics = nullptr;
     };
 
-    RequestDesk(asio::io_context& context, Options options, Parts parts);
+    RequestForwarder(asio::io_context& context, Options options, Dependencies parts);
 
     /**
      * Listens for callers. They can connect at once, but connections are
@@ -62,13 +62,13 @@
      * maxWaitForConfiguration.
      */
     std::error_code start();
-    HttpListener& sessions() { return this->listener; }
+    HttpListener& callerListener() { return this->listener; }
     /** Closes expired sessions and connections and updates the metrics; to be called about once a second. */
-    void tend();
+    void runMaintenance();
 
     void execute(const SendAttempt& action);
     void execute(const CancelAttempt& action);
-    void execute(const PassAnswer& action);
+    void execute(const ForwardAnswer& action);
     void execute(const RefuseRequest& action);
     void execute(const SendProbe& action);
     void execute(const StopSendingTo& action);
@@ -97,7 +97,7 @@
         std::map<AttemptNumber, Attempt> attempts;
     };
 
-    void requestRead(const std::shared_ptr<HttpSession>& session, ReadRequest request) override;
+    void requestReceived(const std::shared_ptr<HttpSession>& session, ReceivedRequest request) override;
     void requestUnreadable(
         const std::shared_ptr<HttpSession>& session, HttpRequestNumber request, HttpRequestProblem problem) override;
     bool mayStartEarly(const HttpRequest& request) const override;
@@ -118,7 +118,7 @@
 
     asio::io_context* context;
     Options options;
-    Parts parts;
+    Dependencies dependencies;
     HttpListener listener;
     Timer acceptTimer;
     HttpConnectionPool connections;
--- a/Tests/Admission/TokenShareTest.cpp
+++ b/Tests/Admission/ArrivalTokenBucketTest.cpp
@@ -1,4 +1,4 @@
-#include "Admission/TokenShare.h"
+#include "Admission/ArrivalTokenBucket.h"
 
 #include <vector>
 
@@ -12,7 +12,7 @@
 /** Arrivals that do not need a token, followed by arrivals that each want one. */
 struct Case {
     const char* name;
-    TokenShare::Options options;
+    ArrivalTokenBucket::Options options;
     int quiet; // arrivals that need no token
     int wanting;
     int letThrough;
@@ -27,12 +27,12 @@
 
 }
 
-TEST_GROUP(TokenShare){};
+TEST_GROUP(ArrivalTokenBucket){};
 
-TEST(TokenShare, LetsItsShareThrough)
+TEST(ArrivalTokenBucket, LetsItsShareThrough)
 {
     for (const Case& item : Cases) {
-        TokenShare share(item.options);
+        ArrivalTokenBucket share(item.options);
         for (int arrival = 0; arrival < item.quiet; ++arrival)
             share.arrived();
         int let = 0;
--- a/Tests/Admission/CallerPatienceTest.cpp
+++ b/Tests/Admission/CallerWaitEstimatorTest.cpp
@@ -1,4 +1,4 @@
-#include "Admission/CallerPatience.h"
+#include "Admission/CallerWaitEstimator.h"
 
 #include <vector>
 
@@ -31,18 +31,18 @@
 
 }
 
-TEST_GROUP(CallerPatience)
+TEST_GROUP(CallerWaitEstimator)
 {
-    CallerPatience patience;
+    CallerWaitEstimator patience;
 };
 
-TEST(CallerPatience, DetectsLateCallers)
+TEST(CallerWaitEstimator, DetectsLateCallers)
 {
     for (const Case& item : Cases)
         CHECK_EQUAL_TEXT(item.isLate, isLateCaller(item.spent, item.expected, Target), item.name);
 }
 
-TEST(CallerPatience, TheLongestTimeSeenIsThatOfAFirstTry)
+TEST(CallerWaitEstimator, TheLongestTimeSeenIsThatOfAFirstTry)
 {
     DOUBLES_EQUAL(0, this->patience.spentBefore({ 3000 }).count, 1);
     DOUBLES_EQUAL(0, this->patience.spentBefore({ 4000 }).count, 1);
@@ -50,7 +50,7 @@
     DOUBLES_EQUAL(0, this->patience.spentBefore({ 4000 }).count, 1);
 }
 
-TEST(CallerPatience, APatientCallerDoesNotCountForLong)
+TEST(CallerWaitEstimator, APatientCallerDoesNotCountForLong)
 {
     this->patience.spentBefore({ 60000 });
     Milliseconds spent;
--- a/Tests/Admission/ComeBackTimeTest.cpp
+++ b/Tests/Admission/RetryAfterDelayTest.cpp
@@ -1,4 +1,4 @@
-#include "Admission/ComeBackTime.h"
+#include "Admission/RetryAfterDelay.h"
 
 #include <vector>
 
@@ -28,19 +28,20 @@
 
 }
 
-TEST_GROUP(ComeBackTime){};
+TEST_GROUP(RetryAfterDelay){};
 
-TEST(ComeBackTime, DependsOnTheReason)
+TEST(RetryAfterDelay, DependsOnTheReason)
 {
     for (const Case& item : Cases)
         DOUBLES_EQUAL_TEXT(
-            item.expected.count, comeBackAfter(item.reason, item.target, item.random).count, 0.1, item.name);
+            item.expected.count, computeRetryAfter(item.reason, item.target, item.random).count, 0.1, item.name);
 }
 
-TEST(ComeBackTime, IsNotBeforeTheEndOfAPause)
+TEST(RetryAfterDelay, IsNotBeforeTheEndOfAPause)
 {
-    DOUBLES_EQUAL(2000, comeBackAfterPause({ 2000 }, 0).count, 0.1);
-    DOUBLES_EQUAL_TEXT(3000, comeBackAfterPause({ 2000 }, 0.5).count, 0.1, "spread over as long again as the pause");
+    DOUBLES_EQUAL(2000, computeRetryAfterForPause({ 2000 }, 0).count, 0.1);
     DOUBLES_EQUAL_TEXT(
-        10000, comeBackAfterPause({ 1e15 }, 0.5).count, 0.1, "bounded, as other servers may have started by then");
+        3000, computeRetryAfterForPause({ 2000 }, 0.5).count, 0.1, "spread over as long again as the pause");
+    DOUBLES_EQUAL_TEXT(10000, computeRetryAfterForPause({ 1e15 }, 0.5).count, 0.1,
+        "bounded, as other servers may have started by then");
 }
--- a/Tests/Configuration/OwnFactTranslatorTest.cpp
+++ b/Tests/Configuration/NativeItemTranslatorTest.cpp
@@ -1,4 +1,4 @@
-#include "Configuration/OwnFactTranslator.h"
+#include "Configuration/NativeItemTranslator.h"
 #include "Configuration/ConfigurationCodec.h"
 #include "Routing/RouteTable.h"
 
@@ -44,12 +44,12 @@
 
 }
 
-TEST_GROUP(OwnFactTranslator)
+TEST_GROUP(NativeItemTranslator)
 {
-    Facts facts = factsOf(*decodeConfiguration(Document));
+    ConfigurationUpdate facts = configurationUpdateOf(*decodeConfiguration(Document));
 };
 
-TEST(OwnFactTranslator, TheMostSpecificRuleApplies)
+TEST(NativeItemTranslator, TheMostSpecificRuleApplies)
 {
     const RouteTable table(*this->facts.configuration);
     for (const Case& item : Cases) {
@@ -64,7 +64,7 @@
     }
 }
 
-TEST(OwnFactTranslator, ReadsServicesAndBackendServers)
+TEST(NativeItemTranslator, ReadsServicesAndBackendServers)
 {
     LONGS_EQUAL(7, this->facts.configuration->version);
     DOUBLES_EQUAL(0.05, this->facts.configuration->services.front().retryShare, 1e-9);
@@ -75,11 +75,11 @@
     CHECK(server.draining);
 }
 
-TEST(OwnFactTranslator, ReportsAnUnreadableItemAndChangesNothing)
+TEST(NativeItemTranslator, ReportsAnUnreadableItemAndChangesNothing)
 {
-    const OwnFactTranslator translator;
-    const Facts bad
-        = translator.translate({ .key = OwnConfigurationKey, .value = "{", .revision = 1, .removed = false });
+    const NativeItemTranslator translator;
+    const ConfigurationUpdate bad
+        = translator.translate({ .key = NativeConfigurationKey, .value = "{", .revision = 1, .removed = false });
     LONGS_EQUAL(1, bad.findings.all().size());
     CHECK(!bad.configuration && !bad.areAllBackendServers);
 }
--- a/Tests/Crashes/CrashTableTest.cpp
+++ b/Tests/Crashes/CrashTableTest.cpp
@@ -32,13 +32,13 @@
 constexpr Milliseconds Apart{ 20 };
 
 /** A crash of a server; each server has its own address. */
-ServerEnd crashOf(std::uint64_t server, Milliseconds at, std::uint64_t caller = Caller)
+ServerCrash crashOf(std::uint64_t server, Milliseconds at, std::uint64_t caller = Caller)
 {
     return { .server = server, .address = address(server), .caller = caller, .at = at };
 }
 
 /** A crash of one of several processes that had the same address. */
-ServerEnd crashAt(std::uint16_t port, std::uint64_t server, std::uint32_t ordinal = 1)
+ServerCrash crashAt(std::uint16_t port, std::uint64_t server, std::uint32_t ordinal = 1)
 {
     return { .server = server,
         .ordinal = ordinal,
@@ -68,7 +68,7 @@
 /** The known crashes under a request, and whether it is refused because of them. */
 struct Case {
     const char* name;
-    std::vector<ServerEnd> crashes;
+    std::vector<ServerCrash> crashes;
     bool hasOneAddress;
     bool isRefused;
 };
@@ -100,9 +100,9 @@
 {
     for (const Case& item : Cases) {
         CrashTable table = newTable();
-        for (const ServerEnd& crash : item.crashes)
+        for (const ServerCrash& crash : item.crashes)
             table.add(Harmful, crash, { 0 });
-        const CallersRequest request{ .digest = Harmful, .caller = Caller, .hasOneAddress = item.hasOneAddress };
+        const CallerRequest request{ .digest = Harmful, .caller = Caller, .hasOneAddress = item.hasOneAddress };
         CHECK_EQUAL_TEXT(item.isRefused, table.isRefused(request, { 10000 }), item.name);
         CHECK_TEXT(!isRefused(table, other(1), { 10000 }), item.name);
     }
@@ -123,9 +123,9 @@
     CHECK(table.answered(Harmful, Caller, { 2000 }, { 2000 }));
     // Late reports and records in the store do not restore cleared crashes.
     CHECK(!table.add(Harmful, crashOf(1, { 1000 }), { 2100 }));
-    CHECK(!table.addKept(Harmful, crashOf(2, { 2050 }), { 2100 }));
+    CHECK(!table.addStored(Harmful, crashOf(2, { 2050 }), { 2100 }));
     CHECK(table.add(Harmful, crashOf(4, { 3000 }), { 3000 }));
-    LONGS_EQUAL(1, table.countedEnds(Harmful));
+    LONGS_EQUAL(1, table.countedCrashes(Harmful));
     CHECK(!table.answered(other(1), Caller, { 2000 }, { 3000 }));
 }
 
@@ -199,7 +199,7 @@
     std::size_t besideThree = 0;
     std::size_t refused = 0;
     for (std::uint64_t neighbour = 1; neighbour <= neighbours; ++neighbour) {
-        besideThree += table.ends(other(neighbour)).size() >= CrashTable::ServersThatProve ? 1 : 0;
+        besideThree += table.crashes(other(neighbour)).size() >= CrashTable::CrashesToConfirm ? 1 : 0;
         refused += isRefused(table, other(neighbour), { 100 }) ? 1 : 0;
     }
     CHECK(besideThree > 70);
@@ -239,7 +239,7 @@
     LONGS_EQUAL(10, table.size());
     CHECK(isRefused(table, Harmful, { 1000 }));
     addCrashes(table, Harmful, 200, 100, { 5000 });
-    LONGS_EQUAL(16, table.ends(Harmful).size());
+    LONGS_EQUAL(16, table.crashes(Harmful).size());
 }
 
 TEST(CrashTable, AttemptsThatSeeTheSameCrashGetTheSameOrdinal)
--- a/Tests/Customers/CustomerTableTest.cpp
+++ b/Tests/Customers/CustomerTableTest.cpp
@@ -44,11 +44,11 @@
         customer("none", {}) };
     const CustomerTable table(customers);
     LONGS_EQUAL(3, table.keys());
-    STRCMP_EQUAL("a", table.holderOf(digestOfKey("alpha"))->name.c_str());
-    STRCMP_EQUAL("a", table.holderOf(digestOfKey("alpha-2"))->name.c_str());
-    STRCMP_EQUAL("b", table.holderOf(digestOfKey("beta"))->name.c_str());
+    STRCMP_EQUAL("a", table.findByKey(digestOfKey("alpha"))->name.c_str());
+    STRCMP_EQUAL("a", table.findByKey(digestOfKey("alpha-2"))->name.c_str());
+    STRCMP_EQUAL("b", table.findByKey(digestOfKey("beta"))->name.c_str());
     for (const char* key : { "", "alph", "alpha-", "ALPHA", "gamma" })
-        CHECK_TEXT(!table.holderOf(digestOfKey(key)), key);
+        CHECK_TEXT(!table.findByKey(digestOfKey(key)), key);
     CHECK(table.byName("none"));
     CHECK_FALSE(table.byName("c"));
     CHECK_FALSE(CustomerTable().hasCustomers());
@@ -67,8 +67,8 @@
     }
     const CustomerTable table(customers);
     LONGS_EQUAL(100000, table.keys());
-    STRCMP_EQUAL("c3999", table.holderOf(digestOfKey("3999/24"))->name.c_str());
-    CHECK_FALSE(table.holderOf(digestOfKey("4000/0")));
+    STRCMP_EQUAL("c3999", table.findByKey(digestOfKey("3999/24"))->name.c_str());
+    CHECK_FALSE(table.findByKey(digestOfKey("4000/0")));
 }
 
 TEST(CustomerTable, ReportsDuplicateKeysAndNames)
--- a/Tests/Http/HttpListenerTest.cpp
+++ b/Tests/Http/HttpListenerTest.cpp
@@ -23,7 +23,7 @@
 /** Answers every request at once. */
 class AnsweringHandler final : public HttpSessionHandler {
 public:
-    void requestRead(const std::shared_ptr<HttpSession>& session, ReadRequest request) override
+    void requestReceived(const std::shared_ptr<HttpSession>& session, ReceivedRequest request) override
     {
         session->answer(request.number, HttpResponse(boost::beast::http::status::ok, 11));
     }
--- a/Tests/Limits/LimitBookTest.cpp
+++ b/Tests/Limits/LimitRegistryTest.cpp
@@ -1,7 +1,7 @@
 // Which of several reports about the limit of a backend server is valid when answers overtake each other, a new life
 // replaces another, and other instances pass on reports late.
 
-#include "Limits/LimitBook.h"
+#include "Limits/LimitRegistry.h"
 
 #include <optional>
 #include <vector>
@@ -59,30 +59,31 @@
 
 }
 
-TEST_GROUP(LimitBook){};
+TEST_GROUP(LimitRegistry){};
 
-TEST(LimitBook, KeepsTheLatestValidReport)
+TEST(LimitRegistry, KeepsTheLatestValidReport)
 {
     for (const Case& item : Cases) {
-        LimitBook registry({});
+        LimitRegistry registry({});
         for (const Statement& statement : item.statements) {
             if (statement.source == Source::Limit)
-                registry.heard("s", statement.life, *statement.limit, { statement.sentAt }, { statement.at });
+                registry.recordLimit("s", statement.life, *statement.limit, { statement.sentAt }, { statement.at });
             else if (statement.source == Source::NoLimit)
-                registry.answered("s", statement.life, { statement.sentAt });
+                registry.recordAnswer("s", statement.life, { statement.sentAt });
             else
-                registry.told("s", { .life = statement.life, .perSecond = statement.limit, .at = { statement.at } });
+                registry.mergeFromPeer(
+                    "s", { .life = statement.life, .perSecond = statement.limit, .at = { statement.at } });
         }
         CHECK_TEXT(registry.limitOf("s", item.life) == item.holds, item.name);
     }
 }
 
-TEST(LimitBook, ForgetsTheOldestServer)
+TEST(LimitRegistry, ForgetsTheOldestServer)
 {
-    LimitBook registry({ .mostServers = 2 });
-    registry.heard("a", 1, 1, {}, { 1 });
-    registry.heard("b", 1, 1, {}, { 2 });
-    registry.heard("c", 1, 1, {}, { 3 });
+    LimitRegistry registry({ .mostServers = 2 });
+    registry.recordLimit("a", 1, 1, {}, { 1 });
+    registry.recordLimit("b", 1, 1, {}, { 2 });
+    registry.recordLimit("c", 1, 1, {}, { 3 });
     CHECK(!registry.limitOf("a", 1));
     CHECK(registry.limitOf("c", 1).has_value());
 }
--- a/Tests/Measurement/ProbeDeskTest.cpp
+++ b/Tests/Measurement/ProbeManagerTest.cpp
@@ -1,4 +1,4 @@
-#include "Measurement/ProbeDesk.h"
+#include "Measurement/ProbeManager.h"
 
 #include <algorithm>
 #include <memory>
@@ -45,8 +45,8 @@
         for (std::size_t instance = 0; instance < item.instances; ++instance) {
             this->randoms.push_back(std::make_unique<Random>(instance));
             const std::string dataCentre = "dc-" + std::to_string(instance % item.dataCentres);
-            this->managers.push_back(std::make_unique<ProbeDesk>(
-                ProbeDesk::Options{ .fleetPerSecond = item.perSecond, .dataCentre = dataCentre },
+            this->managers.push_back(std::make_unique<ProbeManager>(
+                ProbeManager::Options{ .fleetPerSecond = item.perSecond, .dataCentre = dataCentre },
                 *this->randoms.back()));
             this->managers.back()->setFleet(item.instances, item.dataCentres);
         }
@@ -70,7 +70,7 @@
     double share;
     std::shared_ptr<BackendServerState> asked = server("s1", "dc-0");
     std::vector<std::unique_ptr<Random>> randoms;
-    std::vector<std::unique_ptr<ProbeDesk>> managers;
+    std::vector<std::unique_ptr<ProbeManager>> managers;
 };
 
 /** The maximum number of probes within any second when each instance tries every `every` milliseconds. */
@@ -97,7 +97,7 @@
     constexpr int milliseconds = 20000;
     const auto asked = server("s1", "dc-0");
     Random random(1);
-    ProbeDesk manager({ .fleetPerSecond = item.perSecond, .dataCentre = dataCentre }, random);
+    ProbeManager manager({ .fleetPerSecond = item.perSecond, .dataCentre = dataCentre }, random);
     manager.setFleet(item.instances, item.dataCentres);
     int probes = 0;
     for (int now = 0; now < milliseconds; ++now) {
@@ -112,10 +112,10 @@
 
 }
 
-TEST_GROUP(ProbeDesk){};
+TEST_GROUP(ProbeManager){};
 
 // Holds also right after all instances have started or resumed together, when no budget has been used before.
-TEST(ProbeDesk, TheFleetKeepsItsBudgetInEverySecondHoweverLarge)
+TEST(ProbeManager, TheFleetKeepsItsBudgetInEverySecondHoweverLarge)
 {
     for (const Case& item : Cases) {
         for (const int every : { 10, 249, 700, 999 }) {
@@ -126,7 +126,7 @@
 }
 
 // In a large fleet each instance gets few requests, so that even its first one must be allowed to probe some servers.
-TEST(ProbeDesk, AnInstanceOfALargeFleetMayProbeSomeNearbyServersFromTheStart)
+TEST(ProbeManager, AnInstanceOfALargeFleetMayProbeSomeNearbyServersFromTheStart)
 {
     constexpr std::size_t servers = 18;
     constexpr int fewestInTheMean = 3;
@@ -134,7 +134,7 @@
     int asked = 0;
     Random random(1);
     for (std::size_t instance = 0; instance < fleet; ++instance) {
-        ProbeDesk manager({ .fleetPerSecond = 60, .dataCentre = "dc-1" }, random);
+        ProbeManager manager({ .fleetPerSecond = 60, .dataCentre = "dc-1" }, random);
         manager.setFleet(fleet, 6);
         for (std::size_t each = 0; each < servers; ++each)
             asked += manager.start(server(("s" + std::to_string(each)).c_str()), "/load", 1, { 5 }) ? 1 : 0;
@@ -142,16 +142,16 @@
     CHECK(asked >= fewestInTheMean * static_cast<int>(fleet));
 }
 
-TEST(ProbeDesk, InstancesInTheSameDataCentreMayProbeMore)
+TEST(ProbeManager, InstancesInTheSameDataCentreMayProbeMore)
 {
     const Case item{ "eighteen", 18, 4, 60, 1 };
     CHECK(probesFrom(item, "dc-0") > 5 * probesFrom(item, "dc-1"));
 }
 
-TEST(ProbeDesk, NeverProbesAServerTwiceAtTheSameTime)
+TEST(ProbeManager, NeverProbesAServerTwiceAtTheSameTime)
 {
     Random random(1);
-    ProbeDesk manager({ .fleetPerSecond = 1000 }, random);
+    ProbeManager manager({ .fleetPerSecond = 1000 }, random);
     const auto asked = server("s1");
     const auto probe = manager.start(asked, "/load", 1, { 0 });
     CHECK(probe.has_value());
@@ -162,9 +162,9 @@
     CHECK_TEXT(!manager.ended(probe->number), "a probe ends once");
 }
 
-TEST(ProbeDesk, SendsNoProbeWithoutAPath)
+TEST(ProbeManager, SendsNoProbeWithoutAPath)
 {
     Random random(1);
-    ProbeDesk manager({}, random);
+    ProbeManager manager({}, random);
     CHECK_FALSE(manager.start(server("s1"), "", 1, { 0 }).has_value());
 }
