--- a/Tests/Measurement/ServerSearchTest.cpp
+++ b/Tests/Measurement/ServerSearchTest.cpp
@@ -59,12 +59,12 @@
 {
     Random random{ 1 };
     DecisionCounters counters;
-    ProbeDesk probes{ { .fleetPerSecond = 600, .dataCentre = "dc-1" }, this->random };
+    ProbeManager probes{ { .fleetPerSecond = 600, .dataCentre = "dc-1" }, this->random };
     ServerSearch search{ { .dataCentre = "dc-1" },
         { .probes = &this->probes, .random = &this->random, .counters = &this->counters } };
     ServiceDescription service{ .name = "bookings", .probePath = "/load" };
 
-    RequestSearch begin(Milliseconds spent = {}) const
+    ServerSearchState begin(Milliseconds spent = {}) const
     {
         return this->search.begin({ .target = Target, .spent = spent, .usualTime = UsualTime }, Arrival);
     }
@@ -77,52 +77,52 @@
     for (const Case& item : Cases) {
         const auto pool = poolOf({ "s1" });
         const Milliseconds now = Arrival + item.waited;
-        pool->find("s1")->reported({ .slots = 2, .workPercent = item.workPercent }, now - item.toldBefore);
-        const RequestSearch request = this->begin(item.spent);
-        const Choice choice = pool->choose({ .longestWork = this->search.longestWork(request, now) },
+        pool->find("s1")->updateLoad({ .slots = 2, .workPercent = item.workPercent }, now - item.toldBefore);
+        const ServerSearchState request = this->begin(item.spent);
+        const ServerChoice choice = pool->choose({ .maxWorkFactor = this->search.longestWork(request, now) },
             { .now = now, .dataCentre = "dc-1", .expected = UsualTime }, this->random);
         CHECK_TEXT((choice.server != nullptr) == item.isSent, item.name);
-        CHECK_TEXT(item.isSent || choice.reason == NoChoice::Slow, item.name);
+        CHECK_TEXT(item.isSent || choice.reason == NoServerReason::Slow, item.name);
     }
 }
 
 TEST(ServerSearch, AServerWithoutARecentReportIsNotChosen)
 {
     const auto pool = poolOf({ "s1" });
-    const ChoiceWish wish{ .onlyHeard = true };
+    const SelectionCriteria wish{ .onlyWithRecentReport = true };
     const RoutingContext context{ .now = Arrival, .dataCentre = "dc-1", .expected = UsualTime };
-    CHECK(pool->choose(wish, context, this->random).reason == NoChoice::Unheard);
-    pool->find("s1")->reported({ .slots = 2 }, Arrival);
+    CHECK(pool->choose(wish, context, this->random).reason == NoServerReason::NoRecentReport);
+    pool->find("s1")->updateLoad({ .slots = 2 }, Arrival);
     CHECK(pool->choose(wish, context, this->random).server != nullptr);
 }
 
 TEST(ServerSearch, ProbesInABoundedNumberOfRounds)
 {
     const auto pool = poolOf({ "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8" });
-    RequestSearch request = this->begin();
+    ServerSearchState request = this->begin();
     for (unsigned round = 0; round < 6; ++round) {
-        CHECK(this->search.mayAsk(request, Arrival));
+        CHECK(this->search.mayStartRound(request, Arrival));
         const RoutingContext context{ .now = Arrival + Milliseconds{ 10.0 * round }, .dataCentre = "dc-1" };
         std::vector<Probe> questions;
-        CHECK(this->search.ask(request, this->service, *pool, context, questions));
+        CHECK(this->search.startRound(request, this->service, *pool, context, questions));
         CHECK(!questions.empty() && questions.size() <= 6);
         for (const Probe& question : questions)
             this->probes.ended(question.number);
-        request.asked.clear();
+        request.awaitedServers.clear();
     }
-    CHECK_FALSE(this->search.mayAsk(request, Arrival));
+    CHECK_FALSE(this->search.mayStartRound(request, Arrival));
 }
 
 TEST(ServerSearch, OneGoodAnswerIsEnoughAndASlowOneIsNot)
 {
     const auto pool = poolOf({ "s1", "s2" });
-    RequestSearch request = this->begin();
-    request.asked = { "s1", "s2" };
+    ServerSearchState request = this->begin();
+    request.awaitedServers = { "s1", "s2" };
     const Milliseconds now = Arrival + Milliseconds{ 3 };
-    pool->find("s1")->reported({ .slots = 2, .workPercent = 500 }, now);
-    CHECK_FALSE(this->search.isEnough(request, *pool->find("s1"), now));
-    CHECK_FALSE_TEXT(this->search.isEnough(request, *pool->find("s1"), now), "the server is no longer awaited");
-    request.asked = { "s1", "s2" };
-    pool->find("s2")->reported({ .slots = 2, .workPercent = 100 }, now);
-    CHECK(this->search.isEnough(request, *pool->find("s2"), now));
+    pool->find("s1")->updateLoad({ .slots = 2, .workPercent = 500 }, now);
+    CHECK_FALSE(this->search.isProbingDone(request, *pool->find("s1"), now));
+    CHECK_FALSE_TEXT(this->search.isProbingDone(request, *pool->find("s1"), now), "the server is no longer awaited");
+    request.awaitedServers = { "s1", "s2" };
+    pool->find("s2")->updateLoad({ .slots = 2, .workPercent = 100 }, now);
+    CHECK(this->search.isProbingDone(request, *pool->find("s2"), now));
 }
--- a/Tests/Membership/AskingTurnsTest.cpp
+++ b/Tests/Membership/AskingTurnsTest.cpp
@@ -5,7 +5,7 @@
 // belonged to the watchers themselves, which have the lowest ranks.
 
 #include "Base/Random.h"
-#include "Membership/WatchDuty.h"
+#include "Membership/WatcherSelection.h"
 
 #include <algorithm>
 #include <cmath>
@@ -51,10 +51,10 @@
     Fleet fleet;
     for (std::size_t instance = 0; instance < instances; ++instance)
         fleet.names.push_back("entry-" + std::to_string(random.below(1000000)));
-    // WatchDuty::watchers() returns those of the lowest rank.
-    WatchDuty onlooker({ .ownName = "onlooker", .wantedWatchers = Watchers });
+    // WatcherSelection::watchers() returns those of the lowest rank.
+    WatcherSelection onlooker({ .ownName = "onlooker", .wantedWatchers = Watchers });
     for (const std::string& name : fleet.names)
-        onlooker.heardWatcher(member(name), { 0 }, { 0 });
+        onlooker.recordWatcherMessage(member(name), { 0 }, { 0 });
     for (const peers::Member& watcher : onlooker.watchers({ 0 }))
         fleet.watchers.push_back(watcher.incarnation().name());
     return fleet;
@@ -63,17 +63,18 @@
 /** The time from the store's last answer until the first instance other than the watchers asks it. */
 Milliseconds firstAskedAfter(const Fleet& fleet)
 {
-    std::vector<WatchDuty> others;
+    std::vector<WatcherSelection> others;
     for (const std::string& name : fleet.names) {
         if (std::find(fleet.watchers.begin(), fleet.watchers.end(), name) == fleet.watchers.end())
-            others.emplace_back(WatchDuty::Options{ .ownName = name, .ownCapacity = 20, .wantedWatchers = Watchers });
+            others.emplace_back(
+                WatcherSelection::Options{ .ownName = name, .ownCapacity = 20, .wantedWatchers = Watchers });
     }
     for (Milliseconds now{ 0 };; now = now + Step) {
-        for (WatchDuty& other : others) {
+        for (WatcherSelection& other : others) {
             const bool isTelling = std::fmod(now.count, UpdateInterval.count) < Step.count;
             for (const std::string& watcher : fleet.watchers) {
                 if (isTelling)
-                    other.heardWatcher(member(watcher), { 0 }, now);
+                    other.recordWatcherMessage(member(watcher), { 0 }, now);
             }
             if (other.shouldWatch(false, { 0 }, fleet.names.size(), now))
                 return now;
--- a/Tests/Membership/MemberTableTest.cpp
+++ b/Tests/Membership/MemberTableTest.cpp
@@ -1,6 +1,6 @@
 #include "Membership/MemberTable.h"
-#include "Membership/ContactBook.h"
-#include "Membership/NewsTree.h"
+#include "Membership/ContactRegistry.h"
+#include "Membership/GossipTree.h"
 
 #include <set>
 #include <string>
@@ -22,13 +22,13 @@
 }
 
 /** Collects the receivers of a message that every receiver forwards, and the most copies that one of them sends. */
-void collectReceivers(const std::vector<NewsBranch>& branches, std::size_t mostBranches,
+void collectReceivers(const std::vector<GossipBranch>& branches, std::size_t mostBranches,
     std::multiset<NetworkAddress>& reached, std::size_t& mostSent)
 {
     mostSent = std::max(mostSent, branches.size());
-    for (const NewsBranch& branch : branches) {
+    for (const GossipBranch& branch : branches) {
         reached.insert(branch.receiver);
-        collectReceivers(branchesOf(branch.relayTo, mostBranches), mostBranches, reached, mostSent);
+        collectReceivers(splitIntoBranches(branch.relayTo, mostBranches), mostBranches, reached, mostSent);
     }
 }
 
@@ -62,11 +62,11 @@
 TEST(MemberTable, ALaterLifeReplacesAnEarlierOne)
 {
     MemberTable table({});
-    CHECK(table.heard(member("a", 5), 10, { 0 }));
-    CHECK_FALSE_TEXT(table.heard(member("a", 5), 11, { 10 }), "the life is already known");
-    CHECK_FALSE_TEXT(table.heard(member("a", 4), 99, { 20 }), "an earlier life is ignored");
+    CHECK(table.update(member("a", 5), 10, { 0 }));
+    CHECK_FALSE_TEXT(table.update(member("a", 5), 11, { 10 }), "the life is already known");
+    CHECK_FALSE_TEXT(table.update(member("a", 4), 99, { 20 }), "an earlier life is ignored");
     LONGS_EQUAL(11, table.members().front().revision);
-    CHECK(table.heard(member("a", 6), 2, { 30 }));
+    CHECK(table.update(member("a", 6), 2, { 30 }));
     LONGS_EQUAL(1, table.size());
     LONGS_EQUAL_TEXT(2, table.members().front().revision, "a new life starts with the revision that it reports");
 }
@@ -74,8 +74,8 @@
 TEST(MemberTable, RemovesMembersWithoutRecentMessages)
 {
     MemberTable table({ .expireAfter = { 100 } });
-    table.heard(member("a", 1), 1, { 0 });
-    table.heard(member("b", 1), 1, { 90 });
+    table.update(member("a", 1), 1, { 0 });
+    table.update(member("b", 1), 1, { 90 });
     table.tick({ 120 });
     LONGS_EQUAL(1, table.size());
     CHECK(table.members().front().member.incarnation().name() == "b");
@@ -84,11 +84,11 @@
 TEST(MemberTable, UpdatesReachAllMembersAndEachSendsFewCopies)
 {
     for (const FleetShape& shape : Shapes) {
-        const NewsTreeOptions options{ .origin = "entry-x", .dataCentre = "dc-0" };
+        const GossipTreeOptions options{ .origin = "entry-x", .dataCentre = "dc-0" };
         std::size_t mostSent = 0;
         std::multiset<NetworkAddress> reached;
         collectReceivers(
-            firstBranches(membersOf(shape), options, ShortlyAfterMessages), options.mostBranches, reached, mostSent);
+            rootBranches(membersOf(shape), options, ShortlyAfterMessages), options.mostBranches, reached, mostSent);
         LONGS_EQUAL(shape.instances, reached.size());
         const std::set<NetworkAddress> distinct(reached.begin(), reached.end());
         LONGS_EQUAL_TEXT(shape.instances, distinct.size(), "no member receives an update twice");
@@ -100,8 +100,8 @@
 {
     const auto members = membersOf({ 141, 4 });
     std::size_t across = 0;
-    for (const NewsBranch& branch :
-        firstBranches(members, { .origin = "entry-x", .dataCentre = "dc-0" }, ShortlyAfterMessages)) {
+    for (const GossipBranch& branch :
+        rootBranches(members, { .origin = "entry-x", .dataCentre = "dc-0" }, ShortlyAfterMessages)) {
         const auto place = [&](const NetworkAddress& address) { return (address.port - 1000U) % 4; };
         across += place(branch.receiver) != 0 ? 1 : 0;
         for (const NetworkAddress& relayed : branch.relayTo)
@@ -117,10 +117,10 @@
         members[index].heardAt = { -2000 };
     members[20].member.set_capacity(50);
     for (const std::string origin : { "entry-x", "entry-y" }) {
-        const auto branches = firstBranches(members, { .origin = origin, .dataCentre = "dc-0" }, ShortlyAfterMessages);
+        const auto branches = rootBranches(members, { .origin = origin, .dataCentre = "dc-0" }, ShortlyAfterMessages);
         LONGS_EQUAL(8, branches.size());
         LONGS_EQUAL_TEXT(1020, branches.front().receiver.port, "the member with the most capacity is first");
-        for (const NewsBranch& branch : branches)
+        for (const GossipBranch& branch : branches)
             CHECK_TEXT(branch.receiver.port >= 1010, "members without recent messages come last");
     }
 }
@@ -128,15 +128,15 @@
 TEST(MemberTable, AnOlderReportFromAnotherInstanceDoesNotChangeTheTime)
 {
     MemberTable table({});
-    table.heard(member("a", 1), 5, { 1000 });
-    table.heard(member("a", 1), 5, { 400 });
+    table.update(member("a", 1), 5, { 1000 });
+    table.update(member("a", 1), 5, { 400 });
     LONGS_EQUAL(1000, static_cast<long>(table.members().front().heardAt.count));
 }
 
 TEST(MemberTable, ContactsAreTheNewestAddressesWithoutTheOwn)
 {
     const NetworkAddress own{ .host = "10.0.0.1", .port = 1 };
-    ContactBook book({ .own = own, .maximumAddresses = 3 });
+    ContactRegistry book({ .own = own, .maximumAddresses = 3 });
     Random random(2);
     for (std::uint16_t port = 1; port <= 6; ++port)
         book.learn({ .host = "10.0.0.1", .port = port });
--- a/Tests/Membership/PullPlanTest.cpp
+++ b/Tests/Membership/PullSchedulerTest.cpp
@@ -1,4 +1,4 @@
-#include "Membership/PullPlan.h"
+#include "Membership/PullScheduler.h"
 
 #include <string>
 
@@ -18,71 +18,71 @@
 
 }
 
-TEST_GROUP(PullPlan){};
+TEST_GROUP(PullScheduler){};
 
 // A busy instance that gets repeated pulls sends everything each time. This brought a fleet of 142 instances with 327
 // backend servers to a standstill.
-TEST(PullPlan, PullsOnceHoweverManyUpdatesNameTheRevision)
+TEST(PullScheduler, PullsOnceHoweverManyUpdatesNameTheRevision)
 {
-    PullPlan plan({});
+    PullScheduler plan({});
     int asked = 0;
     for (double at = 0; at < 1000; at += 10) {
-        plan.behind(origin("a"), 20, true, { at });
+        plan.recordMissingChanges(origin("a"), 20, true, { at });
         asked += plan.next({ at }) ? 1 : 0;
     }
     LONGS_EQUAL(1, asked);
     CHECK_TEXT(plan.next({ 1000 }).has_value(), "the pull timed out");
-    plan.answered();
+    plan.recordAnswer();
     CHECK_TEXT(plan.next({ 1010 }).has_value(), "the answer did not bring the revision");
 }
 
-TEST(PullPlan, PullsFromTheOriginOfTheLatestRevision)
+TEST(PullScheduler, PullsFromTheOriginOfTheLatestRevision)
 {
-    PullPlan plan({});
-    plan.behind(origin("a"), 20, true, { 0 });
-    plan.behind(origin("b"), 21, true, { 0 });
-    plan.behind(origin("c"), 19, true, { 0 });
+    PullScheduler plan({});
+    plan.recordMissingChanges(origin("a"), 20, true, { 0 });
+    plan.recordMissingChanges(origin("b"), 21, true, { 0 });
+    plan.recordMissingChanges(origin("c"), 19, true, { 0 });
     STRCMP_EQUAL("b", plan.next({ 0 })->incarnation().name().c_str());
 }
 
-TEST(PullPlan, WaitsForTheLeadersUpdateAfterOneWithoutChanges)
+TEST(PullScheduler, WaitsForTheLeadersUpdateAfterOneWithoutChanges)
 {
-    PullPlan plan({});
-    plan.behind(origin("a"), 20, false, { 100 });
+    PullScheduler plan({});
+    plan.recordMissingChanges(origin("a"), 20, false, { 100 });
     CHECK_FALSE(plan.next({ 100 }).has_value());
     LONGS_EQUAL(300, static_cast<long>(plan.nextDue().count));
     CHECK(plan.next({ 300 }).has_value());
 }
 
-TEST(PullPlan, DoesNotPullWhatArrivesMeanwhile)
+TEST(PullScheduler, DoesNotPullWhatArrivesMeanwhile)
 {
-    PullPlan plan({});
-    plan.behind(origin("a"), 20, false, { 100 });
-    plan.reached(19);
+    PullScheduler plan({});
+    plan.recordMissingChanges(origin("a"), 20, false, { 100 });
+    plan.recordReachedRevision(19);
     CHECK(plan.nextDue() < Never);
-    plan.reached(20);
+    plan.recordReachedRevision(20);
     CHECK(plan.nextDue() == Never);
     CHECK_FALSE(plan.next({ 400 }).has_value());
 }
 
-TEST(PullPlan, WaitsOnceForAnAnnouncedPush)
+TEST(PullScheduler, WaitsOnceForAnAnnouncedPush)
 {
-    PullPlan plan({});
+    PullScheduler plan({});
     // More updates announce pushes while the first push is under way.
     for (double at = 100; at < 1000; at += 100) {
-        plan.promised({ at });
-        plan.behind(origin("a"), 20, true, { at });
+        plan.recordAnnouncedPush({ at });
+        plan.recordMissingChanges(origin("a"), 20, true, { at });
         CHECK_FALSE(plan.next({ at }).has_value());
     }
     LONGS_EQUAL(1000, static_cast<long>(plan.nextDue().count));
     CHECK(plan.next({ 1000 }).has_value());
 }
 
-TEST(PullPlan, PullsAtOnceAfterAPushThatDidNotBringTheRevision)
+TEST(PullScheduler, PullsAtOnceAfterAPushThatDidNotBringTheRevision)
 {
-    PullPlan plan({});
-    plan.promised({ 100 });
-    plan.behind(origin("a"), 20, true, { 100 });
-    plan.delivered();
+    PullScheduler plan({});
+    plan.recordAnnouncedPush({ 100 });
+    plan.recordMissingChanges(origin("a"), 20, true, { 100 });
+    plan.recordReceivedPush();
     CHECK(plan.next({ 110 }).has_value());
 }
--- a/Tests/Membership/WatchDutyTest.cpp
+++ b/Tests/Membership/WatcherSelectionTest.cpp
@@ -1,4 +1,4 @@
-#include "Membership/WatchDuty.h"
+#include "Membership/WatcherSelection.h"
 
 #include "Base/Random.h"
 
@@ -46,21 +46,21 @@
 
 }
 
-TEST_GROUP(WatchDuty){};
+TEST_GROUP(WatcherSelection){};
 
-TEST(WatchDuty, FollowsTheUpdatesOfOthers)
+TEST(WatcherSelection, FollowsTheUpdatesOfOthers)
 {
     for (const Case& item : Cases) {
-        WatchDuty duty({ .ownName = "entry-1" });
+        WatcherSelection duty({ .ownName = "entry-1" });
         for (int other = 0; other < item.others; ++other)
-            duty.heardWatcher(member("other-" + std::to_string(other)), item.othersConfirmedAt, { 9900 });
+            duty.recordWatcherMessage(member("other-" + std::to_string(other)), item.othersConfirmedAt, { 9900 });
         CHECK_TEXT(duty.shouldWatch(item.isWatching, item.confirmedAt, Instances, Fresh) == item.watches, item.name);
     }
 }
 
-TEST(WatchDuty, VolunteersAfterADelayThatDependsOnItsName)
+TEST(WatcherSelection, VolunteersAfterADelayThatDependsOnItsName)
 {
-    WatchDuty duty({ .ownName = "entry-1" });
+    WatcherSelection duty({ .ownName = "entry-1" });
     CHECK_FALSE(duty.shouldWatch(false, { 9900 }, Instances, Fresh));
     const Milliseconds due = duty.nextChange({ 1e9 });
     CHECK(due >= Fresh);
@@ -68,13 +68,13 @@
     CHECK_TEXT(duty.shouldWatch(false, due, Instances, due), "exactly at the time that nextChange() returned");
 }
 
-TEST(WatchDuty, KnowledgeIsStaleExactlyAtTheTimeOfNextChange)
+TEST(WatcherSelection, KnowledgeIsStaleExactlyAtTheTimeOfNextChange)
 {
     // The difference of two times may round below the bound that their sum reached.
     for (double confirmed = 1234.567; confirmed < 1300; confirmed += 0.7131) {
-        WatchDuty duty({ .ownName = "entry-7" });
+        WatcherSelection duty({ .ownName = "entry-7" });
         for (int other = 0; other < 3; ++other)
-            duty.heardWatcher(member("other-" + std::to_string(other)), { confirmed }, { confirmed });
+            duty.recordWatcherMessage(member("other-" + std::to_string(other)), { confirmed }, { confirmed });
         CHECK_FALSE(duty.shouldWatch(false, { confirmed }, Instances, { confirmed }));
         const Milliseconds due = duty.nextChange({ confirmed });
         CHECK(duty.shouldWatch(false, { confirmed }, Instances, due));
@@ -82,7 +82,7 @@
 }
 
 // If the store refuses only the watchers, other instances must find that out, with few of them calling it at a time.
-TEST(WatchDuty, EachInstanceAsksInItsTurnWhileTheWatchersGetNoAnswers)
+TEST(WatcherSelection, EachInstanceAsksInItsTurnWhileTheWatchersGetNoAnswers)
 {
     constexpr int fleet = 200;
     constexpr double spanMilliseconds = 20000;
@@ -90,11 +90,11 @@
     int turns = 0;
     int firstTurns = 0;
     for (int instance = 0; instance < fleet; ++instance) {
-        WatchDuty duty({ .ownName = "entry-" + std::to_string(instance) });
+        WatcherSelection duty({ .ownName = "entry-" + std::to_string(instance) });
         bool isWatching = false;
         for (double now = 10000; now < 10000 + spanMilliseconds; now += 100) {
             for (int other = 0; other < 3; ++other)
-                duty.heardWatcher(member("other-" + std::to_string(other)), { 5000 }, { now });
+                duty.recordWatcherMessage(member("other-" + std::to_string(other)), { 5000 }, { now });
             const bool watches = duty.shouldWatch(isWatching, { 5000 }, fleet, { now });
             turns += watches && !isWatching ? 1 : 0;
             firstTurns += watches && !isWatching && now < firstSecond ? 1 : 0;
@@ -106,11 +106,11 @@
 }
 
 // With a time that is not in the future, the caller would evaluate shouldWatch() in an endless loop.
-TEST(WatchDuty, NextChangeIsInTheFutureForAnInstanceThatDoesNotWatch)
+TEST(WatcherSelection, NextChangeIsInTheFutureForAnInstanceThatDoesNotWatch)
 {
     Random random(7);
     for (int run = 0; run < 200; ++run) {
-        WatchDuty duty({ .ownName = "entry-" + std::to_string(run) });
+        WatcherSelection duty({ .ownName = "entry-" + std::to_string(run) });
         const auto others = static_cast<int>(random.below(4));
         Milliseconds confirmedAt{ 10000 };
         bool isWatching = false;
@@ -118,79 +118,79 @@
             for (int other = 0; other < others; ++other) {
                 const Milliseconds told = now - Milliseconds{ 4000 * random.unit() };
                 if (random.below(3) == 0)
-                    duty.heardWatcher(member("other-" + std::to_string(other)), told, now);
+                    duty.recordWatcherMessage(member("other-" + std::to_string(other)), told, now);
             }
             if (random.below(20) == 0)
                 confirmedAt = now;
             isWatching = duty.shouldWatch(isWatching, confirmedAt, Instances, now);
             if (isWatching && random.below(2) == 0)
-                duty.askedInVain();
+                duty.recordFailedCall();
             isWatching = duty.shouldWatch(isWatching, confirmedAt, Instances, now);
             CHECK(isWatching || duty.nextChange(confirmedAt) > now);
         }
     }
 }
 
-TEST(WatchDuty, OnlyTheLowestRanksStayWhenThereAreTooManyWatchers)
+TEST(WatcherSelection, OnlyTheLowestRanksStayWhenThereAreTooManyWatchers)
 {
     const std::vector<std::string> names{ "entry-0", "entry-1", "entry-2", "entry-3", "entry-4", "entry-5", "entry-6" };
     int staying = 0;
     for (const std::string& name : names) {
-        WatchDuty duty({ .ownName = name });
+        WatcherSelection duty({ .ownName = name });
         for (const std::string& other : names)
-            duty.heardWatcher(member(other), { 9950 }, { 9950 });
+            duty.recordWatcherMessage(member(other), { 9950 }, { 9950 });
         staying += duty.shouldWatch(true, { 9950 }, Instances, Fresh) ? 1 : 0;
     }
     LONGS_EQUAL(3, staying);
 }
 
-TEST(WatchDuty, NamesToOthersOnlyWatchersThatSentUpdatesThemselves)
+TEST(WatcherSelection, NamesToOthersOnlyWatchersThatSentUpdatesThemselves)
 {
-    WatchDuty duty({ .ownName = "entry-1" });
-    duty.heardWatcher(member("reporting"), { 900 }, { 1000 });
-    duty.toldOfWatcher(member("named"), { 1000 });
+    WatcherSelection duty({ .ownName = "entry-1" });
+    duty.recordWatcherMessage(member("reporting"), { 900 }, { 1000 });
+    duty.recordNamedWatcher(member("named"), { 1000 });
     LONGS_EQUAL_TEXT(2, duty.watchers({ 1000 }).size(), "both may send updates");
-    LONGS_EQUAL(1, duty.heardWatchers({ 1000 }).size());
+    LONGS_EQUAL(1, duty.reportingWatchers({ 1000 }).size());
     // Other instances still name the watcher, but it sends no updates itself.
-    duty.toldOfWatcher(member("reporting"), { 5000 });
-    CHECK(duty.heardWatchers({ 5000 }).empty());
+    duty.recordNamedWatcher(member("reporting"), { 5000 });
+    CHECK(duty.reportingWatchers({ 5000 }).empty());
 }
 
-TEST(WatchDuty, AnInstanceWithMoreCapacityReplacesWatchersWithLess)
+TEST(WatcherSelection, AnInstanceWithMoreCapacityReplacesWatchersWithLess)
 {
     const auto weak = [](int number) {
         peers::Member made = member("other-" + std::to_string(number));
         made.set_capacity(10);
         return made;
     };
-    WatchDuty strong({ .ownName = "entry-1", .ownCapacity = 50 });
-    WatchDuty alike({ .ownName = "entry-1", .ownCapacity = 10 });
+    WatcherSelection strong({ .ownName = "entry-1", .ownCapacity = 50 });
+    WatcherSelection alike({ .ownName = "entry-1", .ownCapacity = 10 });
     for (int other = 0; other < 3; ++other) {
-        strong.heardWatcher(weak(other), { 9900 }, { 9900 });
-        alike.heardWatcher(weak(other), { 9900 }, { 9900 });
+        strong.recordWatcherMessage(weak(other), { 9900 }, { 9900 });
+        alike.recordWatcherMessage(weak(other), { 9900 }, { 9900 });
     }
     strong.shouldWatch(false, { 9900 }, Instances, Fresh);
     alike.shouldWatch(false, { 9900 }, Instances, Fresh);
     CHECK_TEXT(strong.nextChange({ 1e9 }) < Milliseconds{ 1e6 }, "it volunteers");
     CHECK_TEXT(alike.nextChange({ 1e9 }) > Milliseconds{ 1e6 }, "there are enough watchers with the same capacity");
-    CHECK_TEXT(strong.leads(Fresh), "it has the lowest rank");
+    CHECK_TEXT(strong.isLeader(Fresh), "it has the lowest rank");
 }
 
-TEST(WatchDuty, SendsHellosToTheWantedNumberOfWatchersOnly)
+TEST(WatcherSelection, SendsHellosToTheWantedNumberOfWatchersOnly)
 {
     // While updates do not arrive, every instance watches.
-    WatchDuty duty({ .ownName = "entry-1" });
+    WatcherSelection duty({ .ownName = "entry-1" });
     for (int other = 0; other < 40; ++other)
-        duty.heardWatcher(member("other-" + std::to_string(other)), { 9900 }, { 9900 });
+        duty.recordWatcherMessage(member("other-" + std::to_string(other)), { 9900 }, { 9900 });
     LONGS_EQUAL(3, duty.watchers(Fresh).size());
-    LONGS_EQUAL(3, duty.heardWatchers(Fresh).size());
+    LONGS_EQUAL(3, duty.reportingWatchers(Fresh).size());
 }
 
-TEST(WatchDuty, WatchersWithoutRecentUpdatesDoNotCount)
+TEST(WatcherSelection, WatchersWithoutRecentUpdatesDoNotCount)
 {
-    WatchDuty duty({ .ownName = "entry-1" });
+    WatcherSelection duty({ .ownName = "entry-1" });
     for (int other = 0; other < 3; ++other)
-        duty.heardWatcher(member("other-" + std::to_string(other)), { 5000 }, { 5000 });
+        duty.recordWatcherMessage(member("other-" + std::to_string(other)), { 5000 }, { 5000 });
     LONGS_EQUAL(3, duty.watchers({ 5100 }).size());
     CHECK(duty.watchers(Fresh).empty());
     duty.shouldWatch(false, Fresh, Instances, Fresh);
--- a/Tests/Node/CrashRecorderTest.cpp
+++ b/Tests/Node/CrashRecorderTest.cpp
@@ -5,7 +5,7 @@
 
 #include "Node/CrashRecorder.h"
 #include "Node/CrashMessages.h"
-#include "StoreClient/OwnStoreWire.h"
+#include "StoreClient/NativeStoreProtocol.h"
 
 #include <string>
 
@@ -39,15 +39,15 @@
 
 TEST(CrashRecorder, WritesWhatEveryFormOfTheStoreCanHold)
 {
-    this->recorder.changed({ 0 });
+    this->recorder.scheduleCheck({ 0 });
     CHECK(!this->recorder.isDue({ 100 }));
     CHECK(this->recorder.isDue(Settled));
-    const auto request = this->recorder.next(someCrashes(~0ULL), nullptr, true, Settled);
+    const auto request = this->recorder.nextWrite(someCrashes(~0ULL), nullptr, true, Settled);
     CHECK(request.has_value());
     // Throws if the value is not valid text.
-    const HttpRequest message = OwnStoreWire().encode(*request);
+    const HttpRequest message = NativeStoreProtocol().encode(*request);
     CHECK(!message.body().empty());
-    const auto kept = readKeptCrashes(request->value);
+    const auto kept = readCrashRecord(request->value);
     CHECK(kept.has_value());
     const auto end = read(kept->ends(0), { 1000 });
     CHECK(end.has_value());
@@ -59,21 +59,21 @@
 
 TEST(CrashRecorder, OnlyTheLeadingWatcherWritesAndOnlyWhatDiffers)
 {
-    this->recorder.changed({ 0 });
-    CHECK(!this->recorder.next(someCrashes(1), nullptr, false, Settled).has_value());
+    this->recorder.scheduleCheck({ 0 });
+    CHECK(!this->recorder.nextWrite(someCrashes(1), nullptr, false, Settled).has_value());
     CHECK(this->recorder.nextDue() > Settled);
-    const StoreItem stored{ .key = CrashesKey, .value = writeKeptCrashes(someCrashes(1)), .revision = 7 };
-    CHECK(!this->recorder.next(someCrashes(1), &stored, true, Settled).has_value());
+    const StoreItem stored{ .key = CrashesKey, .value = writeCrashRecord(someCrashes(1)), .revision = 7 };
+    CHECK(!this->recorder.nextWrite(someCrashes(1), &stored, true, Settled).has_value());
     CHECK(this->recorder.nextDue() == Never);
-    const auto request = this->recorder.next(someCrashes(2), &stored, true, Settled);
+    const auto request = this->recorder.nextWrite(someCrashes(2), &stored, true, Settled);
     CHECK(request.has_value());
     LONGS_EQUAL(7, request->expected);
 }
 
 TEST(CrashRecorder, TriesAgainAfterAnAnswerThatIsLost)
 {
-    this->recorder.changed({ 0 });
-    const auto request = this->recorder.next(someCrashes(1), nullptr, true, Settled);
+    this->recorder.scheduleCheck({ 0 });
+    const auto request = this->recorder.nextWrite(someCrashes(1), nullptr, true, Settled);
     CHECK(!this->recorder.isDue({ 10000 }));
     CHECK(this->recorder.answered({ .number = request->number, .status = StoreStatus::Unknown }, { 1000 }));
     CHECK(this->recorder.isDue({ 4000 }));
@@ -83,6 +83,6 @@
 
 TEST(CrashRecorder, ReadsNothingFromWhatAnotherWriterLeft)
 {
-    CHECK(!readKeptCrashes("no record").has_value());
-    CHECK(!readKeptCrashes(std::string("\x08\xbc\xff", 3)).has_value());
+    CHECK(!readCrashRecord("no record").has_value());
+    CHECK(!readCrashRecord(std::string("\x08\xbc\xff", 3)).has_value());
 }
--- a/Tests/Node/LapsedServersTest.cpp
+++ b/Tests/Node/LapsedServersTest.cpp
@@ -1,5 +1,5 @@
 #include "Node/Node.h"
-#include "Tests/Virtual/LineFactTranslator.h"
+#include "Tests/Virtual/LineItemTranslator.h"
 
 #include <memory>
 #include <string>
@@ -47,7 +47,7 @@
         options.name = "entry-1";
         options.incarnation = 1;
         options.peersAddress = { .host = "10.0.0.1", .port = 7000 };
-        options.translator = std::make_shared<LineFactTranslator>();
+        options.translator = std::make_shared<LineItemTranslator>();
         this->node = std::make_unique<Node>(options);
         this->number = 0;
         this->revision = 10;
--- a/Tests/Node/LargeItemsTest.cpp
+++ b/Tests/Node/LargeItemsTest.cpp
@@ -1,5 +1,5 @@
 #include "Base/Random.h"
-#include "Tests/Virtual/LineFactTranslator.h"
+#include "Tests/Virtual/LineItemTranslator.h"
 #include "Tests/Virtual/VirtualFleet.h"
 
 #include <memory>
@@ -72,7 +72,7 @@
 
 TEST_GROUP(LargeItems)
 {
-    std::shared_ptr<LineFactTranslator> translator = std::make_shared<LineFactTranslator>();
+    std::shared_ptr<LineItemTranslator> translator = std::make_shared<LineItemTranslator>();
     std::unique_ptr<Node> node;
     Actions actions;
 
--- a/Tests/Node/LivesTest.cpp
+++ b/Tests/Node/LivesTest.cpp
@@ -28,9 +28,9 @@
     return server;
 }
 
-Facts named(const BackendServerRecord& server)
+ConfigurationUpdate named(const BackendServerRecord& server)
 {
-    Facts facts;
+    ConfigurationUpdate facts;
     facts.backendServers.push_back(server);
     return facts;
 }
@@ -67,7 +67,7 @@
         this->table.setRouting(routing);
     }
 
-    std::vector<BackendServerChange> hear(const Facts& facts)
+    std::vector<BackendServerChange> hear(const ConfigurationUpdate& facts)
     {
         return this->table.setBackendServers(facts, LongAgo, { 100 });
     }
@@ -92,9 +92,9 @@
 {
     this->hear(named(record(5)));
     const auto before = this->table.backendServer("s1");
-    before->reported({ .running = 2, .waiting = 1, .slots = 3, .workPercent = 500 }, { 110 });
+    before->updateLoad({ .running = 2, .waiting = 1, .slots = 3, .workPercent = 500 }, { 110 });
     before->sent(1, { 110 });
-    before->coldFor({ 60000 }, { 110 });
+    before->setColdFor({ 60000 }, { 110 });
     before->eject({ 60000 });
     before->setLeaving();
     this->hear(named(record(9, "10.0.0.2")));
@@ -112,7 +112,7 @@
 
 TEST(Lives, ALeavingSignOfTheOldLifeDoesNotSilenceTheNewOne)
 {
-    NoticeBook book({});
+    NoticeRegistry book({});
     this->table
         = ServiceTable({ .policies = std::make_shared<Policies>(), .retries = {}, .notices = &book }, this->random);
     this->setup();
@@ -138,7 +138,7 @@
 TEST(Lives, ARecordThatCannotBeReadAnyMoreNamesNoServer)
 {
     this->hear(named(record(5)));
-    Facts spoilt;
+    ConfigurationUpdate spoilt;
     spoilt.unusableBackendServers.push_back("s1");
     constexpr Milliseconds lapseDeadline{ 60000 };
     const auto changes = this->table.setBackendServers(spoilt, lapseDeadline, { 200 });
--- a/Tests/Node/MutationTest.cpp
+++ b/Tests/Node/MutationTest.cpp
@@ -1,11 +1,11 @@
 #include "Base/Random.h"
 #include "Configuration/ConfigurationCodec.h"
 #include "HeaderDialect.h"
-#include "KvFactTranslator.h"
-#include "KvStoreWire.h"
+#include "KvItemTranslator.h"
+#include "KvStoreProtocol.h"
 #include "Settings/SettingsReader.h"
 #include "Store/ValuePacking.h"
-#include "StoreClient/OwnStoreWire.h"
+#include "StoreClient/NativeStoreProtocol.h"
 #include "Tests/Virtual/VirtualFleet.h"
 
 #include <google/protobuf/util/json_util.h>
@@ -75,7 +75,7 @@
     news->add_relay_to(addressOf(member(4)).packed());
     *news->add_contacts() = member(5);
     peers::Item* change = news->add_changes();
-    change->set_key(OwnConfigurationKey);
+    change->set_key(NativeConfigurationKey);
     change->set_value(storedConfiguration());
     change->set_revision(6);
     made[2].mutable_pull()->set_store_revision(1);
@@ -98,7 +98,7 @@
     return made;
 }
 
-Node::Options nodeOptions(std::shared_ptr<const FactTranslator> translator)
+Node::Options nodeOptions(std::shared_ptr<const StoreItemTranslator> translator)
 {
     Node::Options options;
     options.name = "entry-1";
@@ -115,11 +115,11 @@
     // The first read is delayed at random, by up to a second.
     constexpr Milliseconds each{ 1 };
     constexpr std::size_t longest = 1000;
-    const auto isAsked = [&] { return !actions.empty() && std::holds_alternative<AskStore>(actions.back()); };
+    const auto isAsked = [&] { return !actions.empty() && std::holds_alternative<CallStore>(actions.back()); };
     for (std::size_t count = 0; count < longest && !isAsked(); ++count)
         node.handle(ControlTimer{}, each * static_cast<double>(count), actions);
     StoreAnswer answer;
-    answer.number = std::get<AskStore>(actions.back()).request.number;
+    answer.number = std::get<CallStore>(actions.back()).request.number;
     answer.status = StoreStatus::Done;
     answer.at = 3;
     answer.items.push_back({ .key = key, .value = value, .revision = 2, .removed = false });
@@ -136,9 +136,9 @@
 TEST(Mutation, NoMessageOfAnotherInstanceBreaksANode)
 {
     for (int round = 0; round < Rounds; ++round) {
-        Node node(nodeOptions(std::make_shared<OwnFactTranslator>()));
+        Node node(nodeOptions(std::make_shared<NativeItemTranslator>()));
         Actions actions;
-        giveItem(node, OwnConfigurationKey, storedConfiguration(), actions);
+        giveItem(node, NativeConfigurationKey, storedConfiguration(), actions);
         CHECK(node.isReady());
         Milliseconds now{ 1010 };
         for (const peers::PeerMessage& message : messages()) {
@@ -162,13 +162,13 @@
         = R"({"version":"0c","routes":{"r":{"host":"a","path_prefix":"/","type":"safe","timeout":"1s","service":"s"}},"services":{"s":{"max_connections":9}}})";
     for (int round = 0; round < Rounds; ++round) {
         Actions actions;
-        Node own(nodeOptions(std::make_shared<OwnFactTranslator>()));
-        giveItem(own, OwnConfigurationKey, mutate(storedConfiguration(), this->random), actions);
+        Node own(nodeOptions(std::make_shared<NativeItemTranslator>()));
+        giveItem(own, NativeConfigurationKey, mutate(storedConfiguration(), this->random), actions);
         actions.clear();
-        Node platformNode(nodeOptions(std::make_shared<platform::KvFactTranslator>()));
+        Node platformNode(nodeOptions(std::make_shared<platform::KvItemTranslator>()));
         giveItem(platformNode, "op/config", mutate(configuration, this->random), actions);
-        const platform::KvFactTranslator translator;
-        const Facts facts = translator.translate(
+        const platform::KvItemTranslator translator;
+        const ConfigurationUpdate facts = translator.translate(
             { .key = "servers/i", .value = mutate(server, this->random), .revision = 1, .removed = false });
         CHECK(facts.backendServers.size() <= 1);
     }
@@ -182,8 +182,8 @@
     for (int round = 0; round < Rounds; ++round) {
         HttpResponse response(boost::beast::http::status::ok, 11);
         response.body() = mutate(range, this->random);
-        good += platform::KvStoreWire().decode(request, response).status == StoreStatus::Done ? 1 : 0;
-        good += OwnStoreWire().decode(request, response).status == StoreStatus::Done ? 1 : 0;
+        good += platform::KvStoreProtocol().decode(request, response).status == StoreStatus::Done ? 1 : 0;
+        good += NativeStoreProtocol().decode(request, response).status == StoreStatus::Done ? 1 : 0;
         HttpResponse answer(boost::beast::http::status::ok, 11);
         std::string load = mutate("2,1,3,480", this->random);
         std::erase_if(load, [](char character) { return character == '\r' || character == '\n'; });
--- a/Tests/Node/NewsTest.cpp
+++ b/Tests/Node/NewsTest.cpp
@@ -1,4 +1,4 @@
-#include "Configuration/OwnFactTranslator.h"
+#include "Configuration/NativeItemTranslator.h"
 #include "Node/Node.h"
 
 #include <memory>
@@ -41,7 +41,7 @@
         options.name = "entry-1";
         options.incarnation = 1;
         options.peersAddress = { .host = "10.0.0.1", .port = 7000 };
-        options.translator = std::make_shared<OwnFactTranslator>();
+        options.translator = std::make_shared<NativeItemTranslator>();
         this->node = std::make_unique<Node>(options);
         peers::PeerMessage push;
         push.set_version(PeerProtocolVersion);
--- a/Tests/Node/ReturnOfAllTest.cpp
+++ b/Tests/Node/ReturnOfAllTest.cpp
@@ -1,5 +1,5 @@
 #include "Base/Random.h"
-#include "Tests/Virtual/LineFactTranslator.h"
+#include "Tests/Virtual/LineItemTranslator.h"
 #include "Tests/Virtual/VirtualFleet.h"
 
 #include <memory>
@@ -118,7 +118,7 @@
     options.instances = item.instances;
     options.strongInstances = item.strong;
     options.weakCapacity = 10;
-    options.translator = std::make_shared<LineFactTranslator>();
+    options.translator = std::make_shared<LineItemTranslator>();
     options.linkBytesPerMillisecond = WeakBytesPerMillisecond;
     options.store.linkBytesPerMillisecond = StoreBytesPerMillisecond;
     options.store.page = 500;
--- a/Tests/Node/ServerLimitsTest.cpp
+++ b/Tests/Node/ServerRateLimiterTest.cpp
@@ -111,10 +111,10 @@
 
 }
 
-TEST_GROUP(ServerLimits){};
+TEST_GROUP(ServerRateLimiter){};
 
 // An answer without a limit is the only sign that the limit has ended; all instances must learn of it from one answer.
-TEST(ServerLimits, EndForAllInstancesWithTheWord)
+TEST(ServerRateLimiter, EndForAllInstancesWithTheWord)
 {
     VirtualFleet::Options options;
     options.instances = 6;
@@ -136,7 +136,7 @@
     CHECK(fleet.server("s0").arrivals() - before >= 45);
 }
 
-TEST(ServerLimits, RefuseAtOnceWhatNoPermitComesFor)
+TEST(ServerRateLimiter, RefuseAtOnceWhatNoPermitComesFor)
 {
     VirtualFleet::Options options;
     options.instances = 1;
@@ -161,7 +161,7 @@
     CHECK_TEXT(caller.comeBackAfter >= Milliseconds{ 500 }, "not before there is a permit");
 }
 
-TEST(ServerLimits, AreKeptByTheWholeFleetAndUsed)
+TEST(ServerRateLimiter, AreKeptByTheWholeFleetAndUsed)
 {
     std::vector<std::vector<std::string>> found(Plays.size());
     runInParallel(Plays.size(), [&](std::size_t index) { found[index] = played(Plays[index]); });
--- a/Tests/Node/SplitRoutesTest.cpp
+++ b/Tests/Node/SplitRoutesTest.cpp
@@ -60,10 +60,10 @@
         for (std::size_t count = 0; count < requests; ++count) {
             ServiceTable& table = *this->tables[this->random.below(this->tables.size())];
             const auto route = table.route("a", "GET", "/x");
-            const std::string service = table.serviceFor(*route)->description.name;
+            const std::string service = table.chooseService(*route)->description.name;
             if (service == "small" && refusedOneIn && this->random.below(refusedOneIn) == 0)
                 continue;
-            table.sent(*route, service);
+            table.recordSent(*route, service);
             ++sent;
             large += service == "large" ? 1 : 0;
         }
--- a/Tests/Platform/HeaderDialectTest.cpp
+++ b/Tests/Platform/HeaderDialectTest.cpp
@@ -108,7 +108,7 @@
     for (const Case& item : Cases) {
         const AttemptEnd end = this->dialect.readAnswer(response(item.status, item.fields), "i-1");
         CHECK_TEXT(end.result == item.result, item.name);
-        CHECK_TEXT(end.isPromise == item.isPromise, item.name);
+        CHECK_TEXT(end.claimsNotRun == item.isPromise, item.name);
     }
 }
 
@@ -135,7 +135,7 @@
 {
     for (const RefusalCase& item : RefusalCases) {
         const RefuseRequest refusal{
-            .request = 1, .outcome = item.outcome, .reason = item.reason, .comeBackAfter = { 250 }
+            .request = 1, .outcome = item.outcome, .reason = item.reason, .retryAfter = { 250 }
         };
         const HttpResponse answer = this->dialect.makeRefusal(refusal, "r-1");
         LONGS_EQUAL(item.status, answer.result_int());
--- a/Tests/Platform/KvFactTranslatorTest.cpp
+++ b/Tests/Platform/KvItemTranslatorTest.cpp
@@ -1,4 +1,4 @@
-#include "KvFactTranslator.h"
+#include "KvItemTranslator.h"
 #include "Base64.h"
 #include "Customers/KeyDigest.h"
 
@@ -101,14 +101,14 @@
 
 }
 
-TEST_GROUP(KvFactTranslator)
+TEST_GROUP(KvItemTranslator)
 {
-    platform::KvFactTranslator translator;
+    platform::KvItemTranslator translator;
 };
 
-TEST(KvFactTranslator, ReadsTheConfiguration)
+TEST(KvItemTranslator, ReadsTheConfiguration)
 {
-    const Facts facts = this->translator.translate(item("op/config", Configuration));
+    const ConfigurationUpdate facts = this->translator.translate(item("op/config", Configuration));
     CHECK(facts.configuration.has_value());
     const RoutingConfiguration& configuration = *facts.configuration;
     LONGS_EQUAL(12, configuration.version);
@@ -130,9 +130,9 @@
     DOUBLES_EQUAL(15000, configuration.callerLimits.idleTimeout.count, 0);
 }
 
-TEST(KvFactTranslator, ReadsABackendServerAndItsRemoval)
+TEST(KvItemTranslator, ReadsABackendServerAndItsRemoval)
 {
-    const Facts facts = this->translator.translate(item("servers/i-7", Server));
+    const ConfigurationUpdate facts = this->translator.translate(item("servers/i-7", Server));
     LONGS_EQUAL(1, facts.backendServers.size());
     const BackendServerRecord& record = facts.backendServers.front();
     STRCMP_EQUAL("i-7", record.id.c_str());
@@ -143,20 +143,20 @@
     LONGS_EQUAL(1764716442123, record.life);
     CHECK(record.draining);
     DOUBLES_EQUAL(1500, record.coldRemaining.count, 0);
-    const Facts gone = this->translator.translate(item("servers/i-7", "", true));
+    const ConfigurationUpdate gone = this->translator.translate(item("servers/i-7", "", true));
     STRCMP_EQUAL("i-7", gone.goneBackendServers.front().c_str());
 }
 
-TEST(KvFactTranslator, InvalidItemsResultInFindingsOnly)
+TEST(KvItemTranslator, InvalidItemsResultInFindingsOnly)
 {
     for (const Case& each : Cases) {
-        const Facts facts = this->translator.translate(each.item);
+        const ConfigurationUpdate facts = this->translator.translate(each.item);
         CHECK_TEXT(!facts.configuration && facts.backendServers.empty(), each.name);
         LONGS_EQUAL_TEXT(each.findings, facts.findings.all().size(), each.name);
     }
 }
 
-TEST(KvFactTranslator, EncodesAndDecodesBase64)
+TEST(KvItemTranslator, EncodesAndDecodesBase64)
 {
     for (const std::string& text : { std::string(), std::string("f"), std::string("fo"), std::string("foo"),
              std::string("foob"), std::string("\0\xff\x10", 3) })
@@ -167,11 +167,11 @@
         CHECK_FALSE(platform::decodeBase64(bad).has_value());
 }
 
-TEST(KvFactTranslator, AnInvalidRecordIsNotUsed)
+TEST(KvItemTranslator, AnInvalidRecordIsNotUsed)
 {
     for (const InvalidRecord& each : InvalidRecords) {
         const std::string record = replaced(Server, each.valid, each.invalid);
-        const Facts facts = this->translator.translate(item("servers/i-7", record.c_str()));
+        const ConfigurationUpdate facts = this->translator.translate(item("servers/i-7", record.c_str()));
         CHECK_TEXT(facts.backendServers.empty(), each.name);
         LONGS_EQUAL_TEXT(1, facts.unusableBackendServers.size(), each.name);
         CHECK_TEXT(!facts.findings.empty(), each.name);
@@ -179,16 +179,16 @@
     }
 }
 
-TEST(KvFactTranslator, ARecordWithoutAStartIsUsed)
+TEST(KvItemTranslator, ARecordWithoutAStartIsUsed)
 {
     const std::string record = replaced(Server, R"("born":1764716442123,)", "");
-    const Facts facts = this->translator.translate(item("servers/i-7", record.c_str()));
+    const ConfigurationUpdate facts = this->translator.translate(item("servers/i-7", record.c_str()));
     LONGS_EQUAL(1, facts.backendServers.size());
     LONGS_EQUAL(0, facts.backendServers.front().life);
 }
 
 // Random changes of bytes: the record is either used with all its fields valid or not used at all.
-TEST(KvFactTranslator, ACorruptedRecordIsNeverUsedInPart)
+TEST(KvItemTranslator, ACorruptedRecordIsNeverUsedInPart)
 {
     constexpr int rounds = 20000;
     std::mt19937 random(1);
@@ -198,7 +198,7 @@
         const std::size_t changes = 1 + random() % 3;
         for (std::size_t change = 0; change < changes; ++change)
             corrupted[random() % corrupted.size()] = static_cast<char>(random() % 256);
-        const Facts facts = this->translator.translate(item("servers/i-7", corrupted.c_str()));
+        const ConfigurationUpdate facts = this->translator.translate(item("servers/i-7", corrupted.c_str()));
         LONGS_EQUAL(1, facts.backendServers.size() + facts.unusableBackendServers.size());
         CHECK(facts.backendServers.empty() != facts.findings.empty());
         for (const BackendServerRecord& record : facts.backendServers)
@@ -206,21 +206,21 @@
     }
 }
 
-TEST(KvFactTranslator, ReadsThatADataCentreIsEmptied)
+TEST(KvItemTranslator, ReadsThatADataCentreIsEmptied)
 {
-    const Facts emptied = this->translator.translate(item("op/evacuate/z-1", "{}"));
+    const ConfigurationUpdate emptied = this->translator.translate(item("op/evacuate/z-1", "{}"));
     LONGS_EQUAL(1, emptied.dataCentres.size());
     STRCMP_EQUAL("z-1", emptied.dataCentres.front().dataCentre.c_str());
     CHECK(emptied.dataCentres.front().emptied);
-    const Facts back = this->translator.translate(item("op/evacuate/z-1", "", true));
+    const ConfigurationUpdate back = this->translator.translate(item("op/evacuate/z-1", "", true));
     CHECK_FALSE(back.dataCentres.front().emptied);
-    const Facts unreadable = this->translator.translate(item("op/evacuate/z-1", "\x01{"));
+    const ConfigurationUpdate unreadable = this->translator.translate(item("op/evacuate/z-1", "\x01{"));
     CHECK_TEXT(unreadable.dataCentres.front().emptied, "the key alone counts");
 }
 
-TEST(KvFactTranslator, ReadsLimitsOfColdServers)
+TEST(KvItemTranslator, ReadsLimitsOfColdServers)
 {
-    const Facts facts = this->translator.translate(item("op/config",
+    const ConfigurationUpdate facts = this->translator.translate(item("op/config",
         R"({"version":"01","routes":{"r":{"host":"a","path_prefix":"/","service":"s"}},
             "services":{"s":{"cold_start":"3s","cold_per_s":2.5}}})"));
     DOUBLES_EQUAL(2.5, facts.configuration->services.front().coldRequestsPerSecond, 0);
@@ -237,20 +237,20 @@
         + customers + "}";
 }
 
-Facts factsOfDocument(const std::string& document)
+ConfigurationUpdate factsOfDocument(const std::string& document)
 {
     StoreItem item;
     item.key = "op/config";
     item.value = document;
     item.revision = 3;
-    return platform::KvFactTranslator().translate(item);
+    return platform::KvItemTranslator().translate(item);
 }
 
 }
 
-TEST(KvFactTranslator, ReadsCustomersTheirKeysAndLimits)
+TEST(KvItemTranslator, ReadsCustomersTheirKeysAndLimits)
 {
-    const Facts facts = factsOfDocument(documentWith(
+    const ConfigurationUpdate facts = factsOfDocument(documentWith(
         R"({"acme":{"api_keys":["k1","k2"],"priority":1,"rate_per_s":327,"burst":30},"free":{"api_keys":[]}})"));
     CHECK(facts.configuration.has_value());
     const auto& customers = facts.configuration->customers;
@@ -267,7 +267,7 @@
         CHECK_EQUAL(route.name == "r", route.isPublic);
 }
 
-TEST(KvFactTranslator, FindingsAboutCustomersContainNoKeys)
+TEST(KvItemTranslator, FindingsAboutCustomersContainNoKeys)
 {
     const std::vector<std::string> documents{
         R"({"acme":{"api_keys":["secret-1"]},"other":{"api_keys":["secret-2","secret-1"]}})",
@@ -276,14 +276,14 @@
         R"({"acme":"secret-1"})",
     };
     for (const std::string& customers : documents) {
-        const Facts facts = factsOfDocument(documentWith(customers));
+        const ConfigurationUpdate facts = factsOfDocument(documentWith(customers));
         CHECK_TEXT(!facts.configuration.has_value(), customers.c_str());
         CHECK_TEXT(!facts.findings.empty(), customers.c_str());
         CHECK_TEXT(facts.findings.text().find("secret") == std::string::npos, facts.findings.text().c_str());
     }
 }
 
-TEST(KvFactTranslator, ReplacesAllKeysAndNothingElse)
+TEST(KvItemTranslator, ReplacesAllKeysAndNothingElse)
 {
     struct Case {
         std::string before;
@@ -297,7 +297,7 @@
         { R"({"a":{"api_keys":"k1"}})", R"({"a":{"api_keys":"k1"}})" },
         { R"({"a":"\"api_keys\":[\"k\"]"})", R"({"a":"\"api_keys\":[\"k\"]"})" },
     };
-    const platform::KvFactTranslator translator;
+    const platform::KvItemTranslator translator;
     for (const Case& item : cases) {
         StoreItem stored;
         stored.key = "op/config";
@@ -308,10 +308,10 @@
         stored.value = cleared.value_or(item.before);
         STRCMP_EQUAL(item.after.c_str(), translator.withoutSecrets(stored).value_or(stored.value).c_str());
     }
-    const Facts raw = factsOfDocument(documentWith(R"({"a":{"api_keys":["k1"]}})"));
+    const ConfigurationUpdate raw = factsOfDocument(documentWith(R"({"a":{"api_keys":["k1"]}})"));
     StoreItem item;
     item.key = "op/config";
     item.value = documentWith(R"({"a":{"api_keys":["k1"]}})");
-    const Facts cleared = factsOfDocument(*translator.withoutSecrets(item));
+    const ConfigurationUpdate cleared = factsOfDocument(*translator.withoutSecrets(item));
     CHECK(raw.configuration->customers[0].keys[0] == cleared.configuration->customers[0].keys[0]);
 }
--- a/Tests/Platform/KvStoreWireTest.cpp
+++ b/Tests/Platform/KvStoreProtocolTest.cpp
@@ -1,4 +1,4 @@
-#include "KvStoreWire.h"
+#include "KvStoreProtocol.h"
 
 #include <string>
 #include <vector>
@@ -51,12 +51,12 @@
 
 }
 
-TEST_GROUP(KvStoreWire)
+TEST_GROUP(KvStoreProtocol)
 {
-    platform::KvStoreWire wire;
+    platform::KvStoreProtocol wire;
 };
 
-TEST(KvStoreWire, ReadsEveryOutcome)
+TEST(KvStoreProtocol, ReadsEveryOutcome)
 {
     for (const Case& item : Cases) {
         StoreRequest request;
@@ -74,7 +74,7 @@
     }
 }
 
-TEST(KvStoreWire, DecodesValuesAndRemovals)
+TEST(KvStoreProtocol, DecodesValuesAndRemovals)
 {
     StoreRequest request;
     request.operation = Watch;
@@ -85,7 +85,7 @@
     CHECK(answer.items[1].removed);
 }
 
-TEST(KvStoreWire, EncodesCalls)
+TEST(KvStoreProtocol, EncodesCalls)
 {
     StoreRequest watch;
     watch.operation = Watch;
--- a/Tests/Platform/LoopbackInstance.cpp
+++ b/Tests/Platform/LoopbackInstance.cpp
@@ -1,7 +1,7 @@
 #include "Tests/Platform/LoopbackInstance.h"
 
 #include "Base/ChronoDuration.h"
-#include "KvFactTranslator.h"
+#include "KvItemTranslator.h"
 
 #include <array>
 #include <asio/ip/tcp.hpp>
@@ -26,7 +26,7 @@
     options.seed = 1;
     options.peersAddress = { .host = "127.0.0.1", .port = 1 };
     options.retries = { .share = 0.2, .slack = 64, .window = { 10000 } };
-    options.translator = std::make_shared<platform::KvFactTranslator>();
+    options.translator = std::make_shared<platform::KvItemTranslator>();
     return options;
 }
 
--- a/Tests/Platform/LoopbackInstance.h
+++ b/Tests/Platform/LoopbackInstance.h
@@ -3,7 +3,7 @@
 #include "Base/SteadyClock.h"
 #include "HeaderDialect.h"
 #include "Node/Node.h"
-#include "Traffic/RequestDesk.h"
+#include "Traffic/RequestForwarder.h"
 
 #include <asio/io_context.hpp>
 #include <cstdint>
@@ -22,7 +22,7 @@
 };
 
 /**
- * One instance, made of Node and a RequestDesk with the platform's dialect, on
+ * One instance, made of Node and a RequestForwarder with the platform's dialect, on
  * one thread with real loopback connections. The test supplies the contents of
  * the store, as gossip updates of another instance.
  */
@@ -56,7 +56,7 @@
     }
     void execute(const SendAttempt& action) { this->desk.execute(action); }
     void execute(const CancelAttempt& action) { this->desk.execute(action); }
-    void execute(const PassAnswer& action) { this->desk.execute(action); }
+    void execute(const ForwardAnswer& action) { this->desk.execute(action); }
     void execute(const RefuseRequest& action) { this->desk.execute(action); }
     void execute(const SendProbe& action) { this->desk.execute(action); }
     void execute(const StopSendingTo& action) { this->desk.execute(action); }
@@ -69,7 +69,7 @@
     TrafficMetrics metrics;
     Node node;
     std::uint16_t port;
-    RequestDesk desk;
+    RequestForwarder desk;
     Milliseconds requestTimer = Never; // when RequestTimer is due; set after each event
     StoreRevision revision = 0;
     unsigned calls = 0;
--- a/Tests/Quotas/GrantorTenureTest.cpp
+++ b/Tests/Quotas/CreditGrantorLeaseTest.cpp
@@ -2,7 +2,7 @@
 // Several instances take over from each other through the store alone, while one is killed, suspended, restarted or
 // cut off from the store, or its writes are answered late. After each step the tests add up what all may grant.
 
-#include "Quotas/GrantorTenure.h"
+#include "Quotas/CreditGrantorLease.h"
 
 #include <algorithm>
 #include <functional>
@@ -28,7 +28,7 @@
     peers::Member self;
     StoreCallNumbers numbers;
     Random random{ 7 };
-    std::unique_ptr<GrantorTenure> tenure;
+    std::unique_ptr<CreditGrantorLease> tenure;
     std::optional<StoreItem> view;
     Milliseconds watchedAt = LongAgo;
     bool leads = false;
@@ -43,8 +43,8 @@
         this->self.mutable_incarnation()->set_number(life);
         this->self.set_address("10.0.0.1");
         this->self.set_port(port);
-        this->tenure = std::make_unique<GrantorTenure>(
-            GrantorTenure::Options{ .self = this->self }, this->numbers, this->random);
+        this->tenure = std::make_unique<CreditGrantorLease>(
+            CreditGrantorLease::Options{ .self = this->self }, this->numbers, this->random);
         this->view.reset();
         this->watchedAt = LongAgo;
     }
@@ -109,10 +109,10 @@
             this->watch(each);
         if (each.pendingWrite && this->now >= each.pendingUntil)
             this->finishWrite(each);
-        const auto heard = [this](const std::string& name) -> std::optional<GrantorTenure::Heard> {
+        const auto heard = [this](const std::string& name) -> std::optional<CreditGrantorLease::Heard> {
             for (const Instance& other : this->instances) {
                 if (other.tenure && !other.isSuspended && other.self.incarnation().name() == name)
-                    return GrantorTenure::Heard{ .member = other.self, .at = this->now };
+                    return CreditGrantorLease::Heard{ .member = other.self, .at = this->now };
             }
             return std::nullopt;
         };
@@ -236,9 +236,9 @@
 
 }
 
-TEST_GROUP(GrantorTenure){};
+TEST_GROUP(CreditGrantorLease){};
 
-TEST(GrantorTenure, AllInstancesTogetherNeverGrantMoreThanTheLimit)
+TEST(CreditGrantorLease, AllInstancesTogetherNeverGrantMoreThanTheLimit)
 {
     for (const Case& item : Cases) {
         TenureSimulation all(3);
@@ -265,12 +265,12 @@
     }
 }
 
-TEST(GrantorTenure, WritesNothingWhenNoCreditIsNeeded)
+TEST(CreditGrantorLease, WritesNothingWhenNoCreditIsNeeded)
 {
     StoreCallNumbers numbers;
     Random random(1);
-    GrantorTenure tenure({}, numbers, random);
-    const auto heard = [](const std::string&) -> std::optional<GrantorTenure::Heard> { return std::nullopt; };
+    CreditGrantorLease tenure({}, numbers, random);
+    const auto heard = [](const std::string&) -> std::optional<CreditGrantorLease::Heard> { return std::nullopt; };
     for (double time = 0; time < 20000; time += 100)
         CHECK_FALSE(tenure.next(
             { .stored = nullptr, .leads = true, .isWatching = true, .isNeeded = false, .heard = heard }, { time }));
--- a/Tests/Quotas/CustomerCreditTest.cpp
+++ b/Tests/Quotas/CustomerCreditTest.cpp
@@ -3,8 +3,8 @@
 // sends to all instances, to one, or to one after the other. The tests count the requests that reach backend servers in
 // every sliding window, with each credit used as late as allowed, or at once.
 
-#include "Quotas/CreditDesk.h"
-#include "Quotas/CreditGrants.h"
+#include "Quotas/CreditIssuer.h"
+#include "Quotas/CreditManager.h"
 
 #include <algorithm>
 #include <array>
@@ -48,12 +48,12 @@
 public:
     explicit CustomerSimulation(const Case& given)
         : item(given)
-        , grantors(2, CreditGrants(Bound))
+        , grantors(2, CreditIssuer(Bound))
     {
         for (std::size_t index = 0; index < item.instances; ++index) {
             this->randoms.push_back(std::make_unique<Random>(index + 1));
             this->desks.push_back(
-                std::make_unique<CreditDesk>(CreditDesk::Options{ .bound = Bound }, *this->randoms.back()));
+                std::make_unique<CreditManager>(CreditManager::Options{ .bound = Bound }, *this->randoms.back()));
             this->desks.back()->setInstances(item.instances);
         }
         this->customer.name = "acme";
@@ -128,15 +128,16 @@
 
     void ask(std::size_t index)
     {
-        for (const CreditDesk::Ask& ask : this->desks[index]->takeAsks(this->now)) {
+        for (const CreditManager::Query& ask : this->desks[index]->takeQueries(this->now)) {
             // Half of the instances learn of the second granting instance earlier than the others.
             const std::size_t grantor = this->modes[1] != GrantMode::None && index % 2 ? 1 : 0;
-            CreditDesk::Answer answer{ .number = ask.number, .customer = ask.customer };
+            CreditManager::Answer answer{ .number = ask.number, .customer = ask.customer };
             answer.isGranting = this->modes[grantor] != GrantMode::None;
             if (answer.isGranting)
                 answer.grant
                     = this->grantors[grantor].grant(this->customer, ask.requests, this->modes[grantor], this->now);
-            for (const CreditDesk::Settled& settled : this->desks[index]->answered(answer, this->now + PeerDelay)) {
+            for (const CreditManager::DecidedRequest& settled :
+                this->desks[index]->answered(answer, this->now + PeerDelay)) {
                 if (settled.decision.outcome == CreditDecision::Outcome::Granted)
                     this->granted.push_back(this->now);
             }
@@ -146,8 +147,8 @@
     Case item;
     Random random{ 11 };
     std::vector<std::unique_ptr<Random>> randoms;
-    std::vector<std::unique_ptr<CreditDesk>> desks;
-    std::vector<CreditGrants> grantors;
+    std::vector<std::unique_ptr<CreditManager>> desks;
+    std::vector<CreditIssuer> grantors;
     std::array<GrantMode, 2> modes{ GrantMode::Full, GrantMode::None };
     Customer customer;
     Milliseconds now{ 1000 };
@@ -235,12 +236,12 @@
 TEST(CustomerCredit, UnusedCreditServesTheNextRequestUntilItExpires)
 {
     Random random(3);
-    CreditDesk desk({ .bound = Bound }, random);
+    CreditManager desk({ .bound = Bound }, random);
     Customer customer;
     customer.name = "acme";
     customer.limit = Large;
     CHECK(desk.request(1, customer, { 100 }).outcome == CreditDecision::Outcome::Awaited);
-    const auto asks = desk.takeAsks({ 100 });
+    const auto asks = desk.takeQueries({ 100 });
     LONGS_EQUAL(1, asks.size());
     const auto settled = desk.answered(
         { .number = asks.front().number, .customer = "acme", .grant = { .amount = 1, .wait = {} } }, { 105 });
@@ -254,14 +255,14 @@
 TEST(CustomerCredit, PausesAfterTwoQueriesWithoutAnAnswer)
 {
     Random random(3);
-    CreditDesk desk({ .bound = Bound }, random);
+    CreditManager desk({ .bound = Bound }, random);
     Customer customer;
     customer.name = "acme";
     customer.limit = Large;
     CHECK(desk.request(1, customer, { 0 }).outcome == CreditDecision::Outcome::Awaited);
-    LONGS_EQUAL(1, desk.takeAsks({ 0 }).size());
+    LONGS_EQUAL(1, desk.takeQueries({ 0 }).size());
     LONGS_EQUAL(0, desk.tick({ 100 }).size());
-    LONGS_EQUAL(1, desk.takeAsks({ 100 }).size());
+    LONGS_EQUAL(1, desk.takeQueries({ 100 }).size());
     const auto settled = desk.tick({ 200 });
     LONGS_EQUAL(1, settled.size());
     CHECK(settled.front().decision.outcome == CreditDecision::Outcome::Unconfirmed);
--- a/Tests/Rollouts/CusumDetectorTest.cpp
+++ b/Tests/Rollouts/CusumDetectorTest.cpp
@@ -65,15 +65,15 @@
         return CountsByRoute{ { "r", { .usual = { .all = 100, .bad = 0 }, .target = { .all = all, .bad = bad } } } };
     };
     for (int times = 0; times < 10; ++times)
-        evidence.told("entry-1", 1, counts(10, 2));
-    evidence.told("entry-1", 1, counts(5, 1));
+        evidence.recordCounts("entry-1", 1, counts(10, 2));
+    evidence.recordCounts("entry-1", 1, counts(5, 1));
     LONGS_EQUAL(10, evidence.total().target.all);
     LONGS_EQUAL(2, evidence.total().target.bad);
     CHECK_FALSE(evidence.isBad());
     // A new life counts from zero.
-    evidence.told("entry-1", 2, counts(3, 3));
+    evidence.recordCounts("entry-1", 2, counts(3, 3));
     LONGS_EQUAL(13, evidence.total().target.all);
-    evidence.told("entry-2", 1, counts(4, 4));
+    evidence.recordCounts("entry-2", 1, counts(4, 4));
     CHECK(evidence.isBad());
 }
 
@@ -84,7 +84,7 @@
     for (std::uint64_t round = 1; round <= 20; ++round) {
         counts["busy"] = { .usual = { .all = 4000 * round, .bad = 0 }, .target = { .all = 200 * round, .bad = 0 } };
         counts["quiet"] = { .usual = { .all = 40 * round, .bad = 0 }, .target = { .all = 2 * round, .bad = round } };
-        evidence.told("entry-1", 1, counts);
+        evidence.recordCounts("entry-1", 1, counts);
     }
     CHECK(evidence.isBad());
 }
--- a/Tests/Routing/ColdStartShareTest.cpp
+++ b/Tests/Routing/ColdStartShareTest.cpp
@@ -169,7 +169,7 @@
     share.configure({ .perSecond = 2.5, .instances = std::nullopt });
     BackendServerState server = coldServer("s1");
     CHECK_FALSE(share.allows(server, random, { 10 }));
-    server.coldFor({ 0 }, { 10 });
+    server.setColdFor({ 0 }, { 10 });
     CHECK(share.allows(server, random, { 11 }));
 }
 
--- a/Tests/Routing/NoticeBookTest.cpp
+++ b/Tests/Routing/NoticeRegistryTest.cpp
@@ -1,4 +1,4 @@
-#include "Routing/NoticeBook.h"
+#include "Routing/NoticeRegistry.h"
 
 #include <string>
 #include <vector>
@@ -29,52 +29,52 @@
 
 }
 
-TEST_GROUP(NoticeBook){};
+TEST_GROUP(NoticeRegistry){};
 
-TEST(NoticeBook, KeepsNoticesByLife)
+TEST(NoticeRegistry, KeepsNoticesByLife)
 {
     for (const Case& item : Cases) {
-        NoticeBook registry({});
+        NoticeRegistry registry({});
         for (const std::uint64_t life : item.notices)
-            registry.heardLeaving("s1", life, { 10 });
+            registry.recordLeaving("s1", life, { 10 });
         CHECK_EQUAL_TEXT(item.isLeaving, registry.isLeaving("s1", item.life), item.name);
         CHECK_FALSE_TEXT(registry.isLeaving("s2", item.life), item.name);
     }
 }
 
-TEST(NoticeBook, ReportsANoticeAsNewOnce)
+TEST(NoticeRegistry, ReportsANoticeAsNewOnce)
 {
-    NoticeBook registry({});
-    CHECK(registry.heardLeaving("s1", 5, { 10 }));
-    CHECK_FALSE(registry.heardLeaving("s1", 5, { 20 }));
-    CHECK_FALSE(registry.heardLeaving("s1", 4, { 30 }));
-    CHECK(registry.heardLeaving("s1", 6, { 40 }));
+    NoticeRegistry registry({});
+    CHECK(registry.recordLeaving("s1", 5, { 10 }));
+    CHECK_FALSE(registry.recordLeaving("s1", 5, { 20 }));
+    CHECK_FALSE(registry.recordLeaving("s1", 4, { 30 }));
+    CHECK(registry.recordLeaving("s1", 6, { 40 }));
 }
 
-TEST(NoticeBook, DropsTheOldestEntryWhenFull)
+TEST(NoticeRegistry, DropsTheOldestEntryWhenFull)
 {
-    NoticeBook registry({ .maxEntries = 100 });
+    NoticeRegistry registry({ .maxEntries = 100 });
     for (int server = 0; server < 100; ++server)
-        registry.heardLeaving("s" + std::to_string(server), 1, { static_cast<double>(server) });
-    registry.heardLeaving("s0", 1, { 200 });
-    registry.heardLeaving("last", 1, { 300 });
+        registry.recordLeaving("s" + std::to_string(server), 1, { static_cast<double>(server) });
+    registry.recordLeaving("s0", 1, { 200 });
+    registry.recordLeaving("last", 1, { 300 });
     CHECK(registry.isLeaving("s0", 1));
     CHECK_FALSE(registry.isLeaving("s1", 1));
     CHECK(registry.isLeaving("s2", 1));
     CHECK(registry.isLeaving("last", 1));
 }
 
-TEST(NoticeBook, KeepsTheLatestEndOfAPauseOfALife)
+TEST(NoticeRegistry, KeepsTheLatestEndOfAPauseOfALife)
 {
-    NoticeBook registry({});
+    NoticeRegistry registry({});
     CHECK(registry.pausedUntil("s1", 5) == LongAgo);
-    CHECK(registry.heardPause("s1", 5, { 500 }, { 10 }));
-    CHECK_FALSE_TEXT(registry.heardPause("s1", 5, { 400 }, { 20 }), "a shorter pause does not replace a longer one");
+    CHECK(registry.recordPause("s1", 5, { 500 }, { 10 }));
+    CHECK_FALSE_TEXT(registry.recordPause("s1", 5, { 400 }, { 20 }), "a shorter pause does not replace a longer one");
     CHECK(registry.pausedUntil("s1", 5) == Milliseconds{ 500 });
-    CHECK(registry.heardPause("s1", 5, { 900 }, { 30 }));
+    CHECK(registry.recordPause("s1", 5, { 900 }, { 30 }));
     CHECK(registry.pausedUntil("s1", 6) == LongAgo);
-    CHECK_FALSE_TEXT(registry.heardPause("s1", 4, { 2000 }, { 40 }), "a pause of an earlier life");
-    CHECK(registry.heardPause("s1", 6, { 600 }, { 50 }));
+    CHECK_FALSE_TEXT(registry.recordPause("s1", 4, { 2000 }, { 40 }), "a pause of an earlier life");
+    CHECK(registry.recordPause("s1", 6, { 600 }, { 50 }));
     CHECK(registry.pausedUntil("s1", 6) == Milliseconds{ 600 });
     CHECK(registry.pausedUntil("s1", 5) == LongAgo);
 }
--- a/Tests/Routing/RouteTableTest.cpp
+++ b/Tests/Routing/RouteTableTest.cpp
@@ -1,5 +1,5 @@
 #include "Routing/RouteTable.h"
-#include "Routing/WeightedTurn.h"
+#include "Routing/WeightedRoundRobin.h"
 
 #include <map>
 #include <string>
@@ -77,7 +77,7 @@
     const std::vector<WeightedService> parts{ { .service = "a", .weight = 90 }, { .service = "b", .weight = 9 },
         { .service = "c", .weight = 1 } };
     for (const double start : { 0.0, 0.37, 0.95, 0.999 }) {
-        WeightedTurn turn(parts, start);
+        WeightedRoundRobin turn(parts, start);
         std::map<std::string, double> counts;
         for (int count = 1; count <= 2000; ++count) {
             const std::string service = turn.next();
@@ -93,7 +93,7 @@
 {
     const std::vector<WeightedService> parts{ { .service = "a", .weight = 1 }, { .service = "b", .weight = 1 } };
     for (const int sentOfTen : { 1, 3, 5, 10 }) {
-        WeightedTurn turn(parts, 0.3);
+        WeightedRoundRobin turn(parts, 0.3);
         std::map<std::string, int> sent;
         int offeredToB = 0;
         for (int count = 0; count < 2000; ++count) {
@@ -113,7 +113,7 @@
 {
     const std::vector<WeightedService> parts{ { .service = "a", .weight = 1 }, { .service = "b", .weight = 3 } };
     const std::vector<WeightedService> others{ { .service = "a", .weight = 2 }, { .service = "b", .weight = 3 } };
-    const WeightedTurn turn(parts, 0.5);
+    const WeightedRoundRobin turn(parts, 0.5);
     CHECK(turn.isFor(parts));
     CHECK_FALSE(turn.isFor(others));
 }
--- a/Tests/Routing/ServicePoolTest.cpp
+++ b/Tests/Routing/ServicePoolTest.cpp
@@ -29,8 +29,8 @@
 /** Two servers with reports: the first is better, or the reports are too old to matter. */
 struct Case {
     const char* name;
-    LoadFigures first;
-    LoadFigures second;
+    ReportedLoad first;
+    ReportedLoad second;
     Milliseconds age;
     bool firstAlways;
 };
@@ -55,9 +55,9 @@
             this->pool.put(record(id), { 0 });
     }
 
-    std::string chosen(const ChoiceWish& wish = {})
+    std::string chosen(const SelectionCriteria& wish = {})
     {
-        const Choice choice = this->pool.choose(wish, this->context, this->random);
+        const ServerChoice choice = this->pool.choose(wish, this->context, this->random);
         return choice.server ? choice.server->id() : "";
     }
 
@@ -86,8 +86,8 @@
         ServicePool two(std::make_unique<LoadAwarePolicy>(), {});
         two.put(record("first"), { 0 });
         two.put(record("second"), { 0 });
-        two.find("first")->reported(item.first, this->context.now - item.age);
-        two.find("second")->reported(item.second, this->context.now - item.age);
+        two.find("first")->updateLoad(item.first, this->context.now - item.age);
+        two.find("second")->updateLoad(item.second, this->context.now - item.age);
         int first = 0;
         for (int count = 0; count < 60; ++count)
             first += two.choose({}, this->context, this->random).server->id() == "first" ? 1 : 0;
@@ -105,7 +105,7 @@
         this->pool.put(record(id), { 0 });
         const Milliseconds age{ number < 2 ? 2.0 : 700.0 };
         const std::uint32_t percent = number % 3 ? 100 : 500;
-        this->pool.find(id)->reported({ 0, 0, 3, number < 2 ? 100 : percent }, this->context.now - age);
+        this->pool.find(id)->updateLoad({ 0, 0, 3, number < 2 ? 100 : percent }, this->context.now - age);
     }
     for (int count = 0; count < 60; ++count) {
         const std::string id = this->chosen();
@@ -124,7 +124,7 @@
     const auto third = this->pool.find("s3");
     third->sent(1, this->context.now);
     third->ended(1, { .result = AttemptResult::OtherServer }, {}, this->context.now);
-    CHECK(this->pool.choose({}, this->context, this->random).reason == NoChoice::NobodyTakes);
+    CHECK(this->pool.choose({}, this->context, this->random).reason == NoServerReason::NoneAvailable);
 }
 
 TEST(ServicePool, ReportsWhenAllServersAreLeaving)
@@ -135,10 +135,10 @@
     BackendServerRecord draining = record("s3");
     draining.draining = true;
     this->pool.put(draining, { 10 });
-    CHECK(this->pool.choose({}, this->context, this->random).reason == NoChoice::AllLeave);
+    CHECK(this->pool.choose({}, this->context, this->random).reason == NoServerReason::AllLeaving);
     for (const char* id : { "s1", "s2", "s3" })
         this->pool.remove(id);
-    CHECK(this->pool.choose({}, this->context, this->random).reason == NoChoice::NobodyTakes);
+    CHECK(this->pool.choose({}, this->context, this->random).reason == NoServerReason::NoneAvailable);
 }
 
 TEST(ServicePool, EjectsFailingServersButNeverMoreThanHalf)
@@ -160,7 +160,7 @@
     this->context.now = { 1600 };
     CHECK_FALSE(this->pool.find("s1")->isEjected(this->context.now));
     for (int count = 0; count < 60; ++count)
-        CHECK(this->chosen({ .mayTry = false }) != "s1");
+        CHECK(this->chosen({ .mayUseTrialServers = false }) != "s1");
     this->pool.find("s1")->sent(7, this->context.now);
     LONGS_EQUAL_TEXT(0, this->timesChosen("s1"), "one at a time");
     this->pool.find("s1")->ended(7, Failure, { 20 }, this->context.now);
@@ -204,15 +204,15 @@
     const auto liar = this->pool.find("s1");
     for (AttemptNumber attempt = 1; attempt <= 2; ++attempt)
         liar->sent(attempt, { 900 });
-    liar->reported({ 0, 0, 3, 100 }, this->context.now);
+    liar->updateLoad({ 0, 0, 3, 100 }, this->context.now);
     CHECK_FALSE_TEXT(liar->isReportTrusted(this->context.now), "two requests of this instance alone are in flight");
     CHECK(liar->isReportTrusted({ 5000 }));
     const auto honest = this->pool.find("s2");
     honest->sent(3, { 900 });
-    honest->reported({ 1, 0, 3, 100 }, this->context.now);
+    honest->updateLoad({ 1, 0, 3, 100 }, this->context.now);
     CHECK(honest->isReportTrusted(this->context.now));
     honest->sent(4, this->context.now);
-    honest->reported({ 1, 0, 3, 100 }, this->context.now);
+    honest->updateLoad({ 1, 0, 3, 100 }, this->context.now);
     CHECK_TEXT(honest->isReportTrusted(this->context.now), "the last one may not have reached the server yet");
 }
 
@@ -223,7 +223,7 @@
     ServicePool single(std::make_unique<LoadAwarePolicy>(), {});
     single.put(record("only"), { 0 });
     const auto server = single.find("only");
-    server->reported({ 3, 0, 3, 100 }, this->context.now);
+    server->updateLoad({ 3, 0, 3, 100 }, this->context.now);
     CHECK_FALSE_TEXT(single.choose({}, this->context, this->random).server, "it is full");
     this->context.now = this->context.now + Milliseconds{ 400 };
     CHECK_TEXT(single.choose({}, this->context, this->random).server, "the report is old");
@@ -238,7 +238,7 @@
     BackendServerRecord server = record("s1");
     this->pool.find("s1")->setLeaving();
     for (int second = 1; second < 60; ++second) {
-        this->pool.find("s1")->reported({ 0, 0, 3, 100 }, this->context.now + Second * second);
+        this->pool.find("s1")->updateLoad({ 0, 0, 3, 100 }, this->context.now + Second * second);
         this->pool.put(server, this->context.now + Second * second);
         CHECK_FALSE(this->pool.find("s1")->takesNewRequests());
     }
@@ -255,11 +255,11 @@
     for (int other = 0; other < others; ++other)
         this->pool.put(record(("other" + std::to_string(other)).c_str()), { 0 });
     for (const char* id : { "s1", "s2", "s3" })
-        this->pool.find(id)->reported({ 1, 0, 3, 100 }, this->context.now);
+        this->pool.find(id)->updateLoad({ 1, 0, 3, 100 }, this->context.now);
     for (int count = 0; count < others; ++count)
         CHECK(this->chosen().starts_with("s"));
     for (const char* id : { "s1", "s2", "s3" })
-        this->pool.find(id)->reported({ 1, 0, 3, 500 }, this->context.now);
+        this->pool.find(id)->updateLoad({ 1, 0, 3, 500 }, this->context.now);
     for (int count = 0; count < others; ++count)
         CHECK_TEXT(this->chosen().starts_with("other"), "slow ones are not preferred");
 }
@@ -273,12 +273,12 @@
         STRCMP_EQUAL("s1", this->chosen().c_str());
         this->pool.find("s1")->sent(attempt, this->context.now);
     }
-    CHECK(this->pool.choose({}, this->context, this->random).reason == NoChoice::Full);
+    CHECK(this->pool.choose({}, this->context, this->random).reason == NoServerReason::Full);
 }
 
 TEST(ServicePool, ProbesTheBestServersFirst)
 {
-    this->pool.find("s1")->reported({ 3, 2, 3, 500 }, this->context.now);
+    this->pool.find("s1")->updateLoad({ 3, 2, 3, 500 }, this->context.now);
     const auto worth = this->pool.probeCandidates(2, this->context, this->random);
     LONGS_EQUAL(2, worth.size());
     for (const auto& server : worth)
@@ -290,10 +290,10 @@
     this->pool.remove("s3");
     this->pool.remove("s2");
     this->pool.put(record("far", "dc-2"), { 0 });
-    this->pool.find("s1")->reported({ 0, 0, 3, 100 }, this->context.now);
-    this->pool.find("far")->reported({ 0, 0, 3, 100 }, this->context.now);
+    this->pool.find("s1")->updateLoad({ 0, 0, 3, 100 }, this->context.now);
+    this->pool.find("far")->updateLoad({ 0, 0, 3, 100 }, this->context.now);
     LONGS_EQUAL(60, this->timesChosen("s1"));
-    this->pool.find("s1")->reported({ 1, 0, 3, 500 }, this->context.now);
+    this->pool.find("s1")->updateLoad({ 1, 0, 3, 500 }, this->context.now);
     LONGS_EQUAL(60, this->timesChosen("far"));
 }
 
--- a/Tests/Store/StoreReaderTest.cpp
+++ b/Tests/Store/StoreReaderTest.cpp
@@ -23,7 +23,7 @@
     Random random{ 3 };
     StoreReader reader{ { .prefix = "p/" }, this->view, this->numbers, this->random };
 
-    StoreNews answer(const StoreRequest& request, StoreStatus status, std::vector<StoreItem> items, StoreRevision at,
+    StoreUpdate answer(const StoreRequest& request, StoreStatus status, std::vector<StoreItem> items, StoreRevision at,
         bool more, Milliseconds now)
     {
         StoreAnswer given;
@@ -75,13 +75,13 @@
         CHECK(first && first->operation == StoreOperation::ReadRange);
         CHECK_EQUAL_TEXT(item.isFirst, first->mayBeStale, item.name);
         CHECK_FALSE_TEXT(this->reader.next({ 1 }, false).has_value(), "one call at a time");
-        const StoreNews halfway
+        const StoreUpdate halfway
             = this->answer(*first, StoreStatus::Done, { ::item("p/a", 3) }, item.firstAt, true, { 4 });
         CHECK_FALSE(halfway.isConfirmed || halfway.isStaleReading);
         const auto second = this->reader.next({ 4 }, false);
         STRCMP_EQUAL("p/a", second->afterKey.c_str());
         CHECK_EQUAL_TEXT(item.isFirst, second->mayBeStale, item.name);
-        const StoreNews whole
+        const StoreUpdate whole
             = this->answer(*second, StoreStatus::Done, { ::item("p/b", 5) }, item.secondAt, false, { 8 });
         CHECK_EQUAL_TEXT(!item.isFirst, whole.isConfirmed, item.name);
         CHECK_EQUAL_TEXT(item.isFirst, whole.isStaleReading, item.name);
@@ -123,7 +123,7 @@
     const auto watch = this->reader.next({ 1 }, true);
     CHECK(watch && watch->operation == StoreOperation::Watch);
     LONGS_EQUAL(7, watch->after);
-    const StoreNews quiet = this->answer(*watch, StoreStatus::Done, {}, 7, false, { 1 + watch->wait.count + 4 });
+    const StoreUpdate quiet = this->answer(*watch, StoreStatus::Done, {}, 7, false, { 1 + watch->wait.count + 4 });
     CHECK(quiet.isConfirmed);
     CHECK(quiet.confirmedAt >= Milliseconds{ 1 } + watch->wait);
 }
@@ -132,7 +132,7 @@
 {
     this->readAll({ 0 });
     const auto watch = this->reader.next({ 1 }, true);
-    const StoreNews news = this->answer(*watch, StoreStatus::Done, { item("p/a", 8) }, 8, false, { 50 });
+    const StoreUpdate news = this->answer(*watch, StoreStatus::Done, { item("p/a", 8) }, 8, false, { 50 });
     LONGS_EQUAL(1, news.changes.size());
     CHECK_FALSE(this->reader.next({ 51 }, true).has_value());
     CHECK(this->reader.next(this->reader.nextAt(), true).has_value());
@@ -146,7 +146,7 @@
     const auto again = this->reader.next({ 5 }, true);
     CHECK(again && again->operation == StoreOperation::ReadRange);
     CHECK(again->afterKey.empty());
-    const StoreNews news = this->answer(*again, StoreStatus::Done, {}, 12, false, { 9 });
+    const StoreUpdate news = this->answer(*again, StoreStatus::Done, {}, 12, false, { 9 });
     LONGS_EQUAL_TEXT(1, news.changes.size(), "a missing key was removed");
     CHECK(news.changes.front().removed);
 }
--- a/Tests/Traffic/BearerKeyTest.cpp
+++ b/Tests/Traffic/BearerKeyTest.cpp
@@ -4,7 +4,7 @@
 
 #include "Traffic/BearerKey.h"
 #include "HeaderDialect.h"
-#include "Traffic/OwnTrafficDialect.h"
+#include "Traffic/NativeTrafficDialect.h"
 
 #include <memory>
 #include <string>
@@ -57,7 +57,7 @@
 };
 
 const std::vector<DialectForm> DialectForms{
-    { std::make_shared<OwnTrafficDialect>(), "Burlreach-Customer" },
+    { std::make_shared<NativeTrafficDialect>(), "Burlreach-Customer" },
     { std::make_shared<platform::HeaderDialect>(), "Tenant-Id" },
 };
 
@@ -138,7 +138,7 @@
     const platform::HeaderDialect dialect;
     for (const Told& item : cases) {
         const HttpResponse response = dialect.makeRefusal(
-            { .request = 1, .outcome = item.outcome, .reason = item.reason, .comeBackAfter = { 250 } }, "r-1");
+            { .request = 1, .outcome = item.outcome, .reason = item.reason, .retryAfter = { 250 } }, "r-1");
         LONGS_EQUAL(item.status, response.result_int());
         CHECK_EQUAL(item.hasTime, !valueOf(response, "Retry-After").empty());
         CHECK_EQUAL(item.status == 401, !valueOf(response, "WWW-Authenticate").empty());
--- a/Tests/Traffic/RequestDeskTest.cpp
+++ b/Tests/Traffic/RequestForwarderTest.cpp
@@ -1,6 +1,6 @@
-#include "Traffic/RequestDesk.h"
+#include "Traffic/RequestForwarder.h"
 #include "Base/SteadyClock.h"
-#include "Traffic/OwnTrafficDialect.h"
+#include "Traffic/NativeTrafficDialect.h"
 
 #include <array>
 #include <asio/steady_timer.hpp>
@@ -72,7 +72,7 @@
 
 }
 
-TEST_GROUP(RequestDesk)
+TEST_GROUP(RequestForwarder)
 {
     /** Requests to paths of one lower-case letter may be repeated. */
     class LowerCaseIsRepeatable final : public RepeatLookup {
@@ -86,22 +86,22 @@
     LowerCaseIsRepeatable repeats;
     asio::io_context context;
     SteadyClock clock;
-    OwnTrafficDialect dialect;
+    NativeTrafficDialect dialect;
     TrafficMetrics metrics;
     RecordingSink sink;
     std::uint16_t port = 0;
-    std::unique_ptr<RequestDesk> desk;
+    std::unique_ptr<RequestForwarder> desk;
 
     void setup() override
     {
         asio::ip::tcp::acceptor probe(this->context, asio::ip::tcp::endpoint(asio::ip::address_v4::loopback(), 0));
         this->port = probe.local_endpoint().port();
         probe.close();
-        RequestDesk::Options options;
+        RequestForwarder::Options options;
         options.address = { .host = "127.0.0.1", .port = this->port };
         options.limits = { .headerBytes = 2048, .bodyBytes = 4096 };
-        this->desk = std::make_unique<RequestDesk>(this->context, options,
-            RequestDesk::Parts{ .dialect = &this->dialect,
+        this->desk = std::make_unique<RequestForwarder>(this->context, options,
+            RequestForwarder::Dependencies{ .dialect = &this->dialect,
                 .clock = &this->clock,
                 .sink = &this->sink,
                 .repeats = &this->repeats,
@@ -120,7 +120,7 @@
             this->desk->execute(RefuseRequest{ .request = event.request,
                 .outcome = RefusedOutcome::NotRun,
                 .reason = RefusalReason::NoBackendServer,
-                .comeBackAfter = { 250 } });
+                .retryAfter = { 250 } });
         };
     }
 
@@ -160,7 +160,7 @@
         this->desk->execute(RefuseRequest{ .request = this->sink.arrived.at(arrival).request,
             .outcome = RefusedOutcome::NotRun,
             .reason = RefusalReason::NoBackendServer,
-            .comeBackAfter = { 250 } });
+            .retryAfter = { 250 } });
     }
 
     static std::string readFrom(asio::ip::tcp::socket & socket)
@@ -187,7 +187,7 @@
     }
 };
 
-TEST(RequestDesk, ReadsOrRefusesWhatCallersSend)
+TEST(RequestForwarder, ReadsOrRefusesWhatCallersSend)
 {
     this->configure();
     this->refuseAll();
@@ -204,7 +204,7 @@
     }
 }
 
-TEST(RequestDesk, RefusesCallersIfNoConfigurationArrives)
+TEST(RequestForwarder, RefusesCallersIfNoConfigurationArrives)
 {
     this->refuseAll();
     STRCMP_EQUAL("", this->answersTo("GET /a HTTP/1.1\r\nHost: x\r\n\r\n").c_str());
@@ -215,7 +215,7 @@
 }
 
 // Pipelined requests on one connection: which of them are started while none has been answered.
-TEST(RequestDesk, StartsOnlyRepeatableRequestsEarly)
+TEST(RequestForwarder, StartsOnlyRepeatableRequestsEarly)
 {
     struct Sent {
         const char* name;
@@ -238,7 +238,7 @@
     }
 }
 
-TEST(RequestDesk, StartsAWaitingRequestAfterTheEarlierAnswers)
+TEST(RequestForwarder, StartsAWaitingRequestAfterTheEarlierAnswers)
 {
     this->configure();
     asio::ip::tcp::socket socket = this->connect();
@@ -253,7 +253,7 @@
     STRCMP_EQUAL("abX", this->startedPaths().c_str());
 }
 
-TEST(RequestDesk, ALostConnectionCancelsAllItsRequests)
+TEST(RequestForwarder, ALostConnectionCancelsAllItsRequests)
 {
     this->configure();
     {
@@ -269,13 +269,13 @@
 
 // The caller takes requests that are not answered before the close as unread
 // and repeats them, so none of them may have been started.
-TEST(RequestDesk, AStopAnswersStartedRequestsAndStartsNoMore)
+TEST(RequestForwarder, AStopAnswersStartedRequestsAndStartsNoMore)
 {
     this->configure();
     asio::ip::tcp::socket socket = this->connect();
     asio::write(socket, asio::buffer(this->requestsTo("abX")));
     this->runFor({ 40 });
-    this->desk->sessions().closeAfterAnswers();
+    this->desk->callerListener().closeAfterAnswers();
     asio::write(socket, asio::buffer(this->requestsTo("c")));
     this->runFor({ 40 });
     this->refuse(0);
@@ -287,10 +287,10 @@
     const std::size_t second = answers.find("HTTP/1.1 503", first + 1);
     CHECK(second != std::string::npos);
     CHECK_TEXT(answers.find("Connection: close") > second, "only the last answer has Connection: close");
-    LONGS_EQUAL(0, this->desk->sessions().unfinished());
+    LONGS_EQUAL(0, this->desk->callerListener().unfinishedSessions());
 }
 
-TEST(RequestDesk, AnswersAnUnreadableRequestAfterEarlierOnes)
+TEST(RequestForwarder, AnswersAnUnreadableRequestAfterEarlierOnes)
 {
     this->configure();
     asio::ip::tcp::socket socket = this->connect();
@@ -306,7 +306,7 @@
 }
 
 // The caller would take an interim answer for the answer to an earlier request that is still unanswered.
-TEST(RequestDesk, SendsNoInterimAnswerBeforeEarlierAnswers)
+TEST(RequestForwarder, SendsNoInterimAnswerBeforeEarlierAnswers)
 {
     this->configure();
     asio::ip::tcp::socket socket = this->connect();
@@ -322,7 +322,7 @@
 }
 
 // A caller's time limit counts from the moment at which its request was read.
-TEST(RequestDesk, WaitingReducesTheTimeLeftOfARequest)
+TEST(RequestForwarder, WaitingReducesTheTimeLeftOfARequest)
 {
     this->configure();
     asio::ip::tcp::socket socket = this->connect();
@@ -335,7 +335,7 @@
     CHECK(*this->sink.arrived.back().timeLeft <= Milliseconds{ 960 });
 }
 
-TEST(RequestDesk, DetectsALostConnection)
+TEST(RequestForwarder, DetectsALostConnection)
 {
     this->configure();
     {
@@ -352,10 +352,10 @@
     LONGS_EQUAL(0, this->desk->openRequests());
 }
 
-TEST(RequestDesk, CountsASessionBeyondTheLimit)
+TEST(RequestForwarder, CountsASessionBeyondTheLimit)
 {
     this->configure();
-    this->desk->sessions().setMaxSessions(1);
+    this->desk->callerListener().setMaxSessions(1);
     const asio::ip::tcp::socket first = this->connect();
     const asio::ip::tcp::socket second = this->connect();
     this->context.restart();
@@ -364,28 +364,28 @@
     CHECK(this->sink.earlyReason == RefusalReason::TooManySessions);
 }
 
-TEST(RequestDesk, ASessionIsUnfinishedUntilItsAnswerIsWritten)
+TEST(RequestForwarder, ASessionIsUnfinishedUntilItsAnswerIsWritten)
 {
     this->configure();
     asio::ip::tcp::socket socket = this->connect();
     asio::write(socket, asio::buffer(std::string("GET /a HTTP/1.1\r\nHost: x\r\n\r\n")));
     this->context.restart();
     this->context.run_for(std::chrono::milliseconds(30));
-    LONGS_EQUAL(1, this->desk->sessions().unfinished());
+    LONGS_EQUAL(1, this->desk->callerListener().unfinishedSessions());
     this->desk->execute(RefuseRequest{ .request = this->sink.arrived.front().request,
         .outcome = RefusedOutcome::NotRun,
         .reason = RefusalReason::NoBackendServer,
-        .comeBackAfter = { 250 } });
+        .retryAfter = { 250 } });
     LONGS_EQUAL_TEXT(0, this->desk->openRequests(), "the request is closed");
-    LONGS_EQUAL_TEXT(1, this->desk->sessions().unfinished(), "the caller has not received the answer");
+    LONGS_EQUAL_TEXT(1, this->desk->callerListener().unfinishedSessions(), "the caller has not received the answer");
     this->context.restart();
     this->context.run_for(std::chrono::milliseconds(30));
-    LONGS_EQUAL(0, this->desk->sessions().unfinished());
+    LONGS_EQUAL(0, this->desk->callerListener().unfinishedSessions());
 }
 
 // A server may announce that it is leaving after it was chosen for a request,
 // while the connection for that request is being made.
-TEST(RequestDesk, AbortsUnsentAttemptsAtALeavingServer)
+TEST(RequestForwarder, AbortsUnsentAttemptsAtALeavingServer)
 {
     this->configure();
     const asio::ip::tcp::acceptor server(this->context, asio::ip::tcp::endpoint(asio::ip::address_v4::loopback(), 0));
@@ -409,17 +409,17 @@
 
 // A connection that was made but not yet accepted when a planned stop began
 // was reset together with its request: 2 of 16,289 requests on a busy machine.
-TEST(RequestDesk, AnswersOnAConnectionMadeJustBeforeAStop)
+TEST(RequestForwarder, AnswersOnAConnectionMadeJustBeforeAStop)
 {
     this->configure();
     this->refuseAll();
-    HttpListener& sessions = this->desk->sessions();
+    HttpListener& sessions = this->desk->callerListener();
     sessions.closeAfterAnswers();
     // Connected, but not yet accepted.
     asio::ip::tcp::socket socket = this->connect();
     sessions.stopAccepting();
     sessions.closeIdle();
-    LONGS_EQUAL_TEXT(1, sessions.unfinished(), "the caller may be about to send");
+    LONGS_EQUAL_TEXT(1, sessions.unfinishedSessions(), "the caller may be about to send");
     asio::write(socket, asio::buffer(std::string("GET /a HTTP/1.1\r\nHost: x\r\n\r\n")));
     this->context.restart();
     this->context.run_for(std::chrono::milliseconds(60));
@@ -433,34 +433,35 @@
     CHECK_TEXT(error.value() != 0, "new connections are refused");
 }
 
-TEST(RequestDesk, AStopWaitsForARequestThatIsPartlyRead)
+TEST(RequestForwarder, AStopWaitsForARequestThatIsPartlyRead)
 {
     this->configure();
-    this->desk->sessions().closeAfterAnswers();
+    this->desk->callerListener().closeAfterAnswers();
     asio::ip::tcp::socket socket = this->connect();
     asio::write(socket, asio::buffer(std::string("POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\n")));
-    this->desk->sessions().stopAccepting();
+    this->desk->callerListener().stopAccepting();
     this->context.restart();
     this->context.run_for(std::chrono::milliseconds(250));
-    this->desk->sessions().closeIdle();
-    LONGS_EQUAL_TEXT(1, this->desk->sessions().unfinished(), "the rest of its body may still arrive");
+    this->desk->callerListener().closeIdle();
+    LONGS_EQUAL_TEXT(1, this->desk->callerListener().unfinishedSessions(), "the rest of its body may still arrive");
 }
 
 // On a busy machine the traffic thread may run late: a request has arrived, but
 // idle sessions are closed before it is read.
-TEST(RequestDesk, AStopDoesNotCloseASessionWhoseRequestIsNotYetRead)
+TEST(RequestForwarder, AStopDoesNotCloseASessionWhoseRequestIsNotYetRead)
 {
     this->configure();
     this->refuseAll();
-    this->desk->sessions().closeAfterAnswers();
+    this->desk->callerListener().closeAfterAnswers();
     asio::ip::tcp::socket socket = this->connect();
     this->context.restart();
     this->context.run_for(std::chrono::milliseconds(30));
-    this->desk->sessions().stopAccepting();
+    this->desk->callerListener().stopAccepting();
     std::this_thread::sleep_for(std::chrono::milliseconds(250));
     asio::write(socket, asio::buffer(std::string("GET /a HTTP/1.1\r\nHost: x\r\n\r\n")));
-    this->desk->sessions().closeIdle();
-    LONGS_EQUAL_TEXT(1, this->desk->sessions().unfinished(), "its request has arrived but is not read yet");
+    this->desk->callerListener().closeIdle();
+    LONGS_EQUAL_TEXT(
+        1, this->desk->callerListener().unfinishedSessions(), "its request has arrived but is not read yet");
     this->context.restart();
     this->context.run_for(std::chrono::milliseconds(60));
     std::array<char, 4096> buffer{};
@@ -470,23 +471,23 @@
     CHECK(std::string(buffer.data(), size).find("HTTP/1.1 503") == 0);
 }
 
-TEST(RequestDesk, AStopClosesIdleConnections)
+TEST(RequestForwarder, AStopClosesIdleConnections)
 {
     this->configure();
-    this->desk->sessions().closeAfterAnswers();
+    this->desk->callerListener().closeAfterAnswers();
     asio::ip::tcp::socket socket = this->connect();
-    this->desk->sessions().stopAccepting();
+    this->desk->callerListener().stopAccepting();
     this->context.restart();
     this->context.run_for(std::chrono::milliseconds(250));
-    this->desk->sessions().closeIdle();
-    LONGS_EQUAL(0, this->desk->sessions().unfinished());
+    this->desk->callerListener().closeIdle();
+    LONGS_EQUAL(0, this->desk->callerListener().unfinishedSessions());
 }
 
-TEST(RequestDesk, AStopClosesAfterTheAnswer)
+TEST(RequestForwarder, AStopClosesAfterTheAnswer)
 {
     this->configure();
     this->refuseAll();
-    this->desk->sessions().closeAfterAnswers();
+    this->desk->callerListener().closeAfterAnswers();
     const std::string answer = this->answersTo("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
     CHECK(answer.find("Connection: close") != std::string::npos);
 }
--- a/Tests/Traffic/StableFieldsTest.cpp
+++ b/Tests/Traffic/StableFieldsTest.cpp
@@ -1,6 +1,6 @@
 #include "Traffic/StableFields.h"
 #include "HeaderDialect.h"
-#include "Traffic/OwnTrafficDialect.h"
+#include "Traffic/NativeTrafficDialect.h"
 
 #include <string>
 #include <utility>
@@ -57,7 +57,7 @@
 
 TEST(StableFields, AreTheSameForARepeatedRequest)
 {
-    const OwnTrafficDialect dialect;
+    const NativeTrafficDialect dialect;
     const std::uint64_t usual = hashStableFields(requestWith(Usual), dialect);
     for (const Case& item : Cases)
         CHECK_EQUAL_TEXT(item.isSame, usual == hashStableFields(requestWith(item.fields), dialect), item.name);
@@ -65,7 +65,7 @@
 
 TEST(StableFields, ExcludeIdsAndDeadlinesOfEachDialect)
 {
-    const OwnTrafficDialect own;
+    const NativeTrafficDialect own;
     const platform::HeaderDialect users;
     const std::uint64_t usual = hashStableFields(requestWith(Usual), own);
     for (const char* name : { "Burlreach-Request-Id", "Burlreach-Deadline-Milliseconds" }) {
--- a/Tests/Traffic/UnreadFieldsTest.cpp
+++ b/Tests/Traffic/UnreadFieldsTest.cpp
@@ -1,5 +1,5 @@
 #include "Traffic/UnreadFields.h"
-#include "Traffic/OwnTrafficDialect.h"
+#include "Traffic/NativeTrafficDialect.h"
 
 #include <string>
 #include <vector>
@@ -36,7 +36,7 @@
 
 TEST_GROUP(UnreadFields)
 {
-    OwnTrafficDialect dialect;
+    NativeTrafficDialect dialect;
     UnreadFields unread;
 };
 
--- a/Tests/Virtual/LineFactTranslator.cpp
+++ b/Tests/Virtual/LineItemTranslator.cpp
@@ -1,4 +1,4 @@
-#include "Tests/Virtual/LineFactTranslator.h"
+#include "Tests/Virtual/LineItemTranslator.h"
 
 #include <algorithm>
 #include <sstream>
@@ -10,9 +10,9 @@
 
 constexpr std::string_view ServerPrefix = "server/";
 
-Facts documentFacts(const StoreItem& item)
+ConfigurationUpdate documentFacts(const StoreItem& item)
 {
-    Facts facts;
+    ConfigurationUpdate facts;
     facts.configuration.emplace();
     facts.configuration->services.push_back({ .name = std::string(LineServiceName) });
     std::istringstream lines(item.value);
@@ -23,9 +23,9 @@
     return facts;
 }
 
-Facts serverFacts(const StoreItem& item)
+ConfigurationUpdate serverFacts(const StoreItem& item)
 {
-    Facts facts;
+    ConfigurationUpdate facts;
     BackendServerRecord record;
     record.id = item.key.substr(ServerPrefix.size());
     if (item.removed) {
@@ -42,7 +42,7 @@
 
 }
 
-Facts LineFactTranslator::translate(const StoreItem& item) const
+ConfigurationUpdate LineItemTranslator::translate(const StoreItem& item) const
 {
     this->longestTranslated = std::max(this->longestTranslated, item.value.size());
     return item.key == LineDocumentKey ? documentFacts(item) : serverFacts(item);
--- a/Tests/Virtual/LineFactTranslator.h
+++ b/Tests/Virtual/LineItemTranslator.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Configuration/FactTranslator.h"
+#include "Configuration/StoreItemTranslator.h"
 
 #include <cstddef>
 #include <string>
@@ -16,10 +16,10 @@
  * name, host and path, that all lead to one service; and an item "server/ID"
  * for each of its backend servers that holds "ready" or "draining".
  */
-class LineFactTranslator final : public FactTranslator {
+class LineItemTranslator final : public StoreItemTranslator {
 public:
     std::string watchedPrefix() const override { return ""; }
-    Facts translate(const StoreItem& item) const override;
+    ConfigurationUpdate translate(const StoreItem& item) const override;
 
     /** The size of the largest value so far. */
     std::size_t longest() const { return this->longestTranslated; }
--- a/Tests/Virtual/VirtualBackendServer.cpp
+++ b/Tests/Virtual/VirtualBackendServer.cpp
@@ -24,7 +24,7 @@
 {
 }
 
-LoadFigures VirtualBackendServer::figures() const
+ReportedLoad VirtualBackendServer::figures() const
 {
     if (this->reportIsFrozen)
         return { .running = 0, .waiting = 0, .slots = static_cast<std::uint32_t>(this->options.slots) };
@@ -34,7 +34,7 @@
         .workPercent = static_cast<std::uint32_t>(this->factorOfMoment() * Percent) };
 }
 
-std::optional<LoadFigures> VirtualBackendServer::probed() const
+std::optional<ReportedLoad> VirtualBackendServer::probed() const
 {
     const bool isMute = this->present == ServerFault::Dead || this->present == ServerFault::Dark
         || this->present == ServerFault::Hangs || this->present == ServerFault::Replaced;
--- a/Tests/Virtual/VirtualBackendServer.h
+++ b/Tests/Virtual/VirtualBackendServer.h
@@ -69,7 +69,7 @@
     void receive(const Arrival& arrival, Done done);
     void cancel(std::uint64_t attempt);
     /** Nothing when it does not answer probes. */
-    std::optional<LoadFigures> probed() const;
+    std::optional<ReportedLoad> probed() const;
     /** What it says of itself in each answer; a pause only where it turns something away. */
     ServerNotice notice(bool turnsAway) const
     {
@@ -116,7 +116,7 @@
     void finish(const Job& job);
     void crash();
     void tell(const Job& job, AttemptResult result);
-    LoadFigures figures() const;
+    ReportedLoad figures() const;
 
     Options options;
     VirtualTime* time;
--- a/Tests/Virtual/VirtualFleet.cpp
+++ b/Tests/Virtual/VirtualFleet.cpp
@@ -135,7 +135,7 @@
 
 StoreRevision VirtualFleet::configure(const v1::Configuration& configuration)
 {
-    return this->store.put(OwnConfigurationKey, encodeConfiguration(configuration));
+    return this->store.put(NativeConfigurationKey, encodeConfiguration(configuration));
 }
 
 void VirtualFleet::start(std::size_t instance)
@@ -151,9 +151,9 @@
         node.seeds.push_back(this->addressOf(seed));
     node.retries = this->options.retries;
     node.probesPerSecond = this->options.probesPerSecond;
-    node.translator = this->options.translator ? this->options.translator : std::make_shared<OwnFactTranslator>();
+    node.translator = this->options.translator ? this->options.translator : std::make_shared<NativeItemTranslator>();
     node.capacity = this->isStrong(instance) ? StrongCapacity : this->options.weakCapacity;
-    node.changeKey = OwnConfigurationKey;
+    node.changeKey = NativeConfigurationKey;
     node.policies = this->options.policies;
     node.requests = this->options.requests;
     place.node = std::make_unique<Node>(node);
@@ -412,7 +412,7 @@
     }
 }
 
-void VirtualFleet::execute(std::size_t instance, const PassAnswer& action)
+void VirtualFleet::execute(std::size_t instance, const ForwardAnswer& action)
 {
     VirtualCaller& caller = this->callerList.at(action.request);
     caller.answerOf = this->answers[{ instance, action.attempt }];
@@ -424,7 +424,7 @@
 {
     VirtualCaller& caller = this->callerList.at(action.request);
     caller.reason = action.reason;
-    caller.comeBackAfter = action.comeBackAfter;
+    caller.comeBackAfter = action.retryAfter;
     const bool isNotRun = action.outcome == RefusedOutcome::NotRun;
     this->endCaller(action.request, isNotRun ? CallerOutcome::NotRun : CallerOutcome::Unknown);
 }
@@ -457,7 +457,7 @@
     const VirtualBackendServer* server = this->serverAt(action.address);
     const bool isDark = server && server->fault() == ServerFault::Dark;
     const bool isListening = server && server->fault() != ServerFault::Dead;
-    const ServerCheck there = isListening ? ServerCheck::CameUp : ServerCheck::NobodyListens;
+    const ServerCheck there = isListening ? ServerCheck::Connected : ServerCheck::ConnectionRefused;
     const ServerCheck result = isDark ? ServerCheck::NoAnswer : there;
     this->time.after(isDark ? this->options.connectTimeout : this->options.toServer * 2,
         [this, instance, life, result, id = action.backendServer] {
@@ -506,14 +506,15 @@
 
 void VirtualFleet::execute(std::size_t instance, const TranslateItem& action)
 {
-    const auto translator = this->options.translator ? this->options.translator : std::make_shared<OwnFactTranslator>();
+    const auto translator
+        = this->options.translator ? this->options.translator : std::make_shared<NativeItemTranslator>();
     const auto item = translateItem(*translator, action.item, action.source);
     this->time.after(this->options.translation, [this, instance, life = this->nodes[instance].life, item] {
         this->deliver(instance, life, ItemTranslated{ .item = item });
     });
 }
 
-void VirtualFleet::execute(std::size_t instance, const AskStore& action)
+void VirtualFleet::execute(std::size_t instance, const CallStore& action)
 {
     const std::uint64_t life = this->nodes[instance].life;
     const auto answered = std::make_shared<bool>(false);
--- a/Tests/Virtual/VirtualFleet.h
+++ b/Tests/Virtual/VirtualFleet.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Configuration/OwnFactTranslator.h"
+#include "Configuration/NativeItemTranslator.h"
 #include "Node/Node.h"
 #include "Tests/Virtual/VirtualBackendServer.h"
 #include "Tests/Virtual/VirtualCaller.h"
@@ -78,7 +78,7 @@
         std::shared_ptr<const PolicyFactory> policies;
         RequestFlow::Options requests;
         VirtualStore::Options store;
-        std::shared_ptr<const FactTranslator> translator; // null: the product's own form
+        std::shared_ptr<const StoreItemTranslator> translator; // null: the product's own form
         double linkBytesPerMillisecond = 0; // of each instance, each way, one message after another; 0: endless
         Milliseconds translation{ 5 }; // of a large item
         std::uint32_t weakCapacity = 0; // of the others, in percent of a processor; 0: they do not know
@@ -164,12 +164,12 @@
 
     void execute(std::size_t instance, const SendAttempt& action);
     void execute(std::size_t instance, const CancelAttempt& action);
-    void execute(std::size_t instance, const PassAnswer& action);
+    void execute(std::size_t instance, const ForwardAnswer& action);
     void execute(std::size_t instance, const RefuseRequest& action);
     void execute(std::size_t instance, const SendProbe& action);
     void execute(std::size_t instance, const CheckServer& action);
     void execute(std::size_t instance, const SendToPeer& action);
-    void execute(std::size_t instance, const AskStore& action);
+    void execute(std::size_t instance, const CallStore& action);
     void execute(std::size_t instance, const TranslateItem& action);
     void execute(std::size_t, const StopSendingTo&) { }
     void execute(std::size_t, const SetCallerLimits&) { }
