--- a/Tests/Admission/ArrivalTokenBucketTest.cpp
+++ b/Tests/Admission/ArrivalTokenBucketTest.cpp
@@ -34,10 +34,10 @@
     for (const Case& item : Cases) {
         ArrivalTokenBucket share(item.options);
         for (int arrival = 0; arrival < item.quiet; ++arrival)
-            share.arrived();
+            share.countArrival();
         int let = 0;
         for (int arrival = 0; arrival < item.wanting; ++arrival) {
-            share.arrived();
+            share.countArrival();
             let += share.take() ? 1 : 0;
         }
         CHECK_TEXT(let >= item.letThrough - 1 && let <= item.letThrough + 1, item.name);
