--- a/Source/Program/ConfigurationView.h
+++ b/Source/Program/ConfigurationView.h
@@ -5,7 +5,7 @@
 
 namespace burlreach {
 
-/** What is in force, in the shape that operators' calls show. */
+/** Returns the configuration in force as the message that the operators' calls return. */
 v1::Configuration configurationView(const ServiceTable& services);
 
 }
--- a/Source/Program/ControlClient.h
+++ b/Source/Program/ControlClient.h
@@ -10,12 +10,12 @@
 
 namespace burlreach {
 
-/** Makes operators' calls to one instance. */
+/** Client for the operators' API of one instance. */
 class ControlClient {
 public:
     explicit ControlClient(const NetworkAddress& address);
 
-    /** Gives what went wrong, or nothing when the answer was read. */
+    /** Returns an error message, or nothing when the answer was received and parsed. */
     std::optional<std::string> call(
         std::string_view method, const google::protobuf::Message& request, google::protobuf::Message& answer);
 
--- a/Source/Program/ControlCommand.cpp
+++ b/Source/Program/ControlCommand.cpp
@@ -35,7 +35,7 @@
     }
 }
 
-/** An option of a verb that sets a field of a message. */
+/** Adds an option to a verb that sets a field of a protobuf message. */
 template <typename Value, typename Message>
 CLI::Option* addField(
     CLI::App& verb, const std::string& name, Message& message, void (Message::*set)(Value), const std::string& help)
@@ -263,7 +263,7 @@
     addTextField(
         *set, "--name", [this](const std::string& value) { this->customer.set_name(value); }, "Name of the customer")
         ->required();
-    // The key itself goes no further than here.
+    // Only the digest of the key is sent; the key itself does not leave this process.
     set->add_option_function<std::vector<std::string>>(
         "--key",
         [this](const std::vector<std::string>& keys) {
--- a/Source/Program/ControlCommand.h
+++ b/Source/Program/ControlCommand.h
@@ -12,10 +12,10 @@
 
 namespace burlreach {
 
-/** The operators' client: one verb for each call. */
+/** The `ctl` subcommand: one verb for each call of the operators' API. */
 class ControlCommand {
 public:
-    /** Adds the verbs; the chosen one runs while the arguments are parsed. */
+    /** Adds the verbs. CLI11 runs the chosen one while it parses the arguments. */
     void addTo(CLI::App& parent);
     ExitCode exitCode() const { return this->result; }
 
@@ -32,7 +32,7 @@
     void addShowVerbs(CLI::App& control);
     void addServiceOption(CLI::App& verb);
 
-    /** Nothing, and the exit code is set, when it is no address. */
+    /** Parses --address. When it is invalid, sets the exit code and returns nothing. */
     std::optional<NetworkAddress> parsedAddress();
     void change(const v1::ChangeRequest& request);
     template <typename Answer>
--- a/Source/Program/DecisionLog.h
+++ b/Source/Program/DecisionLog.h
@@ -10,20 +10,20 @@
 namespace burlreach {
 
 /**
- * Writes a line for each decision, within a budget for each topic, so that a
- * storm of requests does not become a storm of lines. What is left out is
- * counted and told. Safe from any thread.
+ * Logs one line per decision, rate-limited by topic so that a burst of requests
+ * does not flood the log. Suppressed lines are counted, and their number is
+ * logged. Thread-safe.
  */
 class DecisionLog {
 public:
     explicit DecisionLog(const Clock& clock);
 
     void write(const DecisionRecord& record);
-    /** Tells how many lines were left out; to be called every few seconds. */
+    /** Logs how many lines were suppressed since the last call. Call it every few seconds. */
     void tellLeftOut();
 
 private:
-    /** What is needed for one topic. */
+    /** The logger, severity and rate limit of one topic. */
     struct Channel {
         Logger log;
         Severity severity;
--- a/Source/Program/Dialect.h
+++ b/Source/Program/Dialect.h
@@ -11,24 +11,24 @@
 
 namespace burlreach {
 
-/** The forms in which a deployment speaks: with the store, of its facts, and with callers and backend servers. */
+/** The protocol adapters of a deployment: to the store, for the items in it, and for callers and backend servers. */
 struct Dialect {
     std::unique_ptr<StoreProtocol> store;
     std::shared_ptr<StoreItemTranslator> facts;
     std::unique_ptr<TrafficDialect> traffic;
-    std::string changeKey; // of the document that operators' calls change; empty: they write to the store themselves
+    std::string changeKey; // store key that operators' calls change; empty: operators write to the store directly
 };
 
-/** A dialect that this binary has, by the name that settings give it. */
+/** A dialect built into this binary, with its name in the settings. */
 struct DialectEntry {
     std::string_view name;
     Dialect (*make)();
 };
 
-/** Null when there is no dialect of that name. */
+/** Returns null when there is no dialect with that name. */
 const DialectEntry* findDialect(std::span<const DialectEntry> dialects, std::string_view name);
 
-/** burlreach's own forms. */
+/** Creates the dialect of burlreach's native protocols. */
 Dialect makeOwnDialect();
 
 }
--- a/Source/Program/EarlySignals.h
+++ b/Source/Program/EarlySignals.h
@@ -3,13 +3,14 @@
 namespace burlreach {
 
 /**
- * Keeps SIGTERM, SIGINT and SIGHUP waiting. Called first of all, before there
- * is any thread: until an instance can take them their default would end the
- * process, also for a mere reload.
+ * Blocks SIGTERM, SIGINT and SIGHUP, so that they stay pending until the
+ * instance has installed its handlers. Until then the default action would
+ * terminate the process, even for a reload (SIGHUP). Must be called before any
+ * thread is started, since threads inherit the signal mask.
  */
 void holdSignals();
 
-/** Lets what has waited through, to this thread. */
+/** Unblocks the signals in the calling thread; pending ones are delivered to it. */
 void releaseSignals();
 
 }
--- a/Source/Program/Instance.cpp
+++ b/Source/Program/Instance.cpp
@@ -21,14 +21,16 @@
 
 constexpr Milliseconds TendingInterval{ 500 };
 constexpr Milliseconds StopInterval{ 50 };
-/** Lines that were left out are told every so many tendings. */
+/** The number of suppressed log lines is logged once per this many runs of tend(). */
 constexpr unsigned TendingsPerTelling = 10;
 constexpr double Percent = 100;
-/** Longer decisions on one event are told, since requests wait for them: a tenth of the users' shortest target latency.
+/**
+ * Handling one event for longer than this is logged, since all requests wait meanwhile: a tenth of the users' shortest
+ * target latency.
  */
 constexpr Milliseconds LongTurn{ 20 };
 
-/** Rises with each start, also when the process ids repeat. */
+/** Increases with each start; a process id could repeat. */
 std::uint64_t newIncarnation()
 {
     const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
@@ -132,7 +134,7 @@
 
 void Instance::execute(const TranslateItem& action)
 {
-    // On the control thread, without the mutex: requests are decided on meanwhile.
+    // Translated on the control thread without holding the mutex, so that requests are not delayed.
     asio::post(this->context, [this, action] {
         this->post(ItemTranslated{ .item = translateItem(*this->dialect.facts, action.item, action.source) });
     });
@@ -307,7 +309,8 @@
 {
     const SettingsResult next = this->file.read();
     if (!next.findings.empty()) {
-        this->log.error("The settings have findings; those read before stay: " + next.findings.text());
+        this->log.error(
+            "The settings file has errors; the settings read before stay in force: " + next.findings.text());
         return;
     }
     setLowestSeverity(static_cast<Severity>(next.settings.logLevel));
@@ -321,7 +324,7 @@
 void Instance::beginStop()
 {
     if (this->stop.step() != StopSequence::Step::None) {
-        this->log.info("A stop is under way; it ends within its bound.");
+        this->log.info("A stop is already in progress; it ends within its time limit.");
         return;
     }
     this->stop.begin(this->clock.now());
@@ -334,13 +337,13 @@
 
 void Instance::advanceStop()
 {
-    // The number of the count is read before the count itself, which may only be newer.
+    // Read before the count itself, so that the count can only be newer than its number says.
     const std::uint64_t look = this->countedLook;
     const std::size_t unfinished = this->metrics.openRequests + this->metrics.unfinishedAnswers;
     const StopSequence::Step step = this->stop.advance({ .unfinished = unfinished, .look = look }, this->clock.now());
     if (step == StopSequence::Step::None)
         return;
-    // For the next look: an answer that is still being written is work, too.
+    // Counts for the next call of advance(). An answer that is still being written is unfinished work, too.
     this->traffic.run([this, step, number = this->stop.look()] {
         takeStopStep(this->traffic.requestDesk().callerListener(), step);
         this->metrics.unfinishedAnswers = workLeftFor(this->traffic.requestDesk().callerListener());
@@ -349,7 +352,7 @@
     if (step != StopSequence::Step::Ended)
         return;
     if (unfinished)
-        this->log.warning("The bound of the stop is reached; what is left ends now.");
+        this->log.warning("The time limit of the stop is reached; the remaining requests are aborted.");
     this->context.stop();
 }
 
--- a/Source/Program/Instance.h
+++ b/Source/Program/Instance.h
@@ -29,21 +29,21 @@
 namespace burlreach {
 
 /**
- * One running instance: the decisions, guarded by a mutex that is never held
- * over any input or output, and around them the control thread (store, other
- * instances, signals) and the thread of traffic that feed them events and
- * carry their actions out.
+ * One running instance. The Node makes the decisions; it is guarded by a mutex
+ * that is never held during I/O. Two threads post events to it and execute the
+ * actions that it returns: the control thread (store, other instances, signals)
+ * and the traffic thread (requests).
  */
 class Instance final : private EventSink, private InstanceReader, private RepeatLookup, private PeerMessageHandler {
 public:
     Instance(const Settings& settings, SettingsFile file, Dialect dialect);
 
-    /** Runs until a planned stop has ended. */
+    /** Runs until a planned stop is complete. */
     std::error_code run();
 
 private:
     void post(const Event& event) override;
-    /** Measures how long the decisions on an event took. */
+    /** Records how long the node took to handle an event, and logs it when that was long. */
     void noteTurn(const Event& event, Milliseconds took);
     void peerMessageReceived(peers::PeerMessage message) override;
     v1::Configuration configurationInForce() const override;
@@ -99,7 +99,7 @@
     TrafficThread traffic;
     OperatorServer operators;
     StopSequence stop;
-    std::atomic<std::uint64_t> countedLook{ 0 }; // of the stop, for which unfinished work was counted last
+    std::atomic<std::uint64_t> countedLook{ 0 }; // StopSequence::look() of the last count of unfinished work
     unsigned tendings = 0;
 };
 
--- a/Source/Program/LineBudget.h
+++ b/Source/Program/LineBudget.h
@@ -6,7 +6,7 @@
 
 namespace burlreach {
 
-/** How many log lines of a kind are written a second; those beyond are counted. */
+/** Token bucket that limits log lines per second, and counts the lines that it suppresses. */
 class LineBudget {
 public:
     struct Options {
@@ -16,9 +16,9 @@
 
     explicit LineBudget(Options options);
 
-    /** True when a line may be written now. */
+    /** Takes a token. Returns true when a line may be written now, else counts it as suppressed. */
     bool take(Milliseconds now);
-    /** Lines left out since the last call. */
+    /** Returns the number of lines suppressed since the last call, and resets it. */
     std::uint64_t takeLeftOut();
 
 private:
--- a/Source/Program/ListenerStop.cpp
+++ b/Source/Program/ListenerStop.cpp
@@ -10,7 +10,7 @@
     case StopSequence::Step::Announced:
         return listener.closeAfterAnswers();
     case StopSequence::Step::Closing:
-        // Connections that are coming up have until the next look.
+        // Connections that are being established may complete until the next call.
         if (listener.isRefusingNewConnections())
             listener.stopAccepting();
         else
--- a/Source/Program/ListenerStop.h
+++ b/Source/Program/ListenerStop.h
@@ -5,10 +5,10 @@
 
 namespace burlreach {
 
-/** Does at the callers' listener what belongs to the step of a planned stop; to be called at each look. */
+/** Applies the current step of a planned stop to the callers' listener. Call it after each StopSequence::advance(). */
 void takeStopStep(HttpListener& listener, StopSequence::Step step);
 
-/** What keeps the present step of a planned stop from being over at this listener. */
+/** Returns the number of sessions and new connections that a planned stop still has to wait for at this listener. */
 std::size_t workLeftFor(const HttpListener& listener);
 
 }
--- a/Source/Program/Main.cc
+++ b/Source/Program/Main.cc
@@ -17,13 +17,13 @@
 
 using namespace burlreach;
 
-/** The dialects of this binary. */
+/** The dialects built into this binary. */
 constexpr std::array<DialectEntry, 2> Dialects{ {
     { .name = "own", .make = &makeOwnDialect },
     { .name = "platform", .make = &makePlatformDialect },
 } };
 
-/** Prints all findings; true when there are none. */
+/** Prints all findings. Returns true when there are none. */
 bool reportFindings(const Findings& findings)
 {
     std::cerr << findings.text();
@@ -32,7 +32,7 @@
     return findings.empty();
 }
 
-/** Adds what only the binary knows: which dialects there are. */
+/** Adds a finding when the dialect in the settings is not built into this binary. */
 SettingsResult checkedSettings(SettingsResult result)
 {
     if (result.findings.empty() && !findDialect(Dialects, result.settings.dialect))
@@ -66,7 +66,7 @@
         .lowest = severityOf(settings.logLevel),
         .instance = settings.instanceName });
     std::signal(SIGPIPE, SIG_IGN);
-    // Invalid messages are counted; nobody may fill the log with them.
+    // Invalid messages are counted instead of logged, so that no sender can flood the log.
     google::protobuf::SetLogHandler(nullptr);
     Instance instance(settings, file, findDialect(Dialects, settings.dialect)->make());
     const ExitCode code = instance.run() ? ExitCode::Refused : ExitCode::Success;
--- a/Source/Program/MetricsText.cpp
+++ b/Source/Program/MetricsText.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Stands for never. */
+/** Reported in place of an infinite age (never). */
 constexpr double LongestAge = 1e9;
 
 void add(v1::ShowCountersAnswer& answer, std::string_view name, std::string_view reason, double value)
@@ -19,7 +19,7 @@
     counter->set_value(value);
 }
 
-/** Upper ends of buckets, so that they are never told too low. */
+/** Adds quantiles as upper bounds of their buckets, so that they are never reported too low. */
 void addQuantiles(v1::ShowCountersAnswer& answer, std::string_view name, const LatencyHistogram& histogram)
 {
     constexpr double median = 0.5;
--- a/Source/Program/MetricsText.h
+++ b/Source/Program/MetricsText.h
@@ -10,21 +10,21 @@
 
 namespace burlreach {
 
-/** Figures of the moment. */
+/** Current values that are not counters. */
 struct InstanceFigures {
     std::size_t openRequests = 0;
-    std::size_t suspectedRequests = 0; // under which backend servers ended
-    std::size_t instances = 1; // of the fleet, as far as it is known here
-    bool isWatching = false; // the store
+    std::size_t suspectedRequests = 0; // requests during which backend servers crashed
+    std::size_t instances = 1; // known to this instance, itself included
+    bool isWatching = false; // whether this instance watches the store
     StoreRevision storeRevision = 0;
-    Milliseconds confirmedAge; // since the store confirmed the revision
+    Milliseconds confirmedAge; // time since the store confirmed the revision
 };
 
-/** All counters, in the shape that operators' calls give. */
+/** Returns all counters as the answer to the operators' ShowCounters call. */
 v1::ShowCountersAnswer countersOf(const DecisionCounters& decisions, const TrafficMetrics& traffic,
     const StoreCallCounts& storeCalls, const InstanceFigures& figures);
 
-/** Counters and histograms in the text exposition format. */
+/** Returns counters and histograms in the Prometheus text exposition format. */
 std::string writeMetrics(const v1::ShowCountersAnswer& counters, const TrafficMetrics& traffic);
 
 }
--- a/Source/Program/ReadinessPages.h
+++ b/Source/Program/ReadinessPages.h
@@ -9,7 +9,7 @@
 
 namespace burlreach {
 
-/** Answers those who ask whether new callers may be sent to this instance. */
+/** Serves the readiness check: whether new callers may be directed to this instance. */
 class ReadinessPages final : private HttpSessionHandler {
 public:
     ReadinessPages(asio::io_context& context, std::string path, const InstanceReader& reader, const Clock& clock);
--- a/Source/Program/SettingsFile.h
+++ b/Source/Program/SettingsFile.h
@@ -8,17 +8,17 @@
 
 namespace burlreach {
 
-/** The settings file of a running process; tells when it has changed. */
+/** Reads the settings file of a running process and detects changes of it. */
 class SettingsFile {
 public:
     explicit SettingsFile(std::string path);
 
     SettingsResult read();
-    /** True when the file is another one than at the last read. */
+    /** Returns true when the file was changed or replaced since the last read(). */
     bool hasChanged() const;
 
 private:
-    /** What tells one state of the file from another. */
+    /** Modification time, size and inode: they differ when the file was changed or replaced. */
     struct Stamp {
         std::int64_t seconds = 0;
         std::int64_t nanoseconds = 0;
--- a/Source/Program/StopSequence.cpp
+++ b/Source/Program/StopSequence.cpp
@@ -4,11 +4,11 @@
 
 namespace {
 
-/** Of the bound; what ends the process from outside should not come first. */
+/** Share of the bound after which the process exits, so that it does so before a supervisor kills it. */
 constexpr double BoundUsed = 0.95;
 /**
- * Of the time between the lead and the bound: from then on nobody is accepted
- * any more, so that the last requests have the other half to end in.
+ * Share of the time between lead and bound during which connections are accepted
+ * at most. The rest of it is left for the last requests to finish.
  */
 constexpr double AcceptingShare = 0.5;
 
--- a/Source/Program/StopSequence.h
+++ b/Source/Program/StopSequence.h
@@ -8,30 +8,33 @@
 namespace burlreach {
 
 /**
- * The steps of a planned stop. First nobody new should be sent here while what
- * comes is still served; then what is under way ends, and late callers are
- * still served; when nobody has come for a moment the listening ends, and then
- * the process, at the latest at the bound.
+ * The steps of a planned stop:
+ * 1. Announced: readiness checks fail, so that no new callers are directed here;
+ *    callers that come anyway are still served.
+ * 2. Draining: requests in progress finish; late callers are still served.
+ * 3. Closing: when no unfinished work is left and no caller has connected
+ *    recently, the listener is closed; requests on the last connections finish.
+ * 4. Ended: the process exits, at the latest at the time limit (`bound`).
  *
- * The listening ends last, as near to the end of the process as can be, since
- * its end can reset callers that connect just then (HttpListener::refuseNew()).
+ * The listener is closed as late as possible, since closing it can reset
+ * callers that connect at that moment (HttpListener::refuseNewConnections()).
  */
 class StopSequence {
 public:
     enum class Step {
         None,
-        Announced, // not ready any more; new requests are still served
-        Draining, // requests under way end; those of late callers are still served
-        Closing, // no new connections; what came with the last ones ends
+        Announced, // readiness checks fail; new requests are still served
+        Draining, // requests in progress finish; those of late callers are still served
+        Closing, // no new connections; requests on the last ones finish
         Ended
     };
 
     struct Options {
-        Milliseconds lead{ 2500 }; // until those who ask for readiness have noticed
+        Milliseconds lead{ 2500 }; // until all clients of the readiness check have noticed
         Milliseconds bound{ 30000 };
     };
 
-    /** Work as the thread that carries it counted it, at one of the looks of advance(). */
+    /** Unfinished work as the traffic thread counted it, and the call of advance() for which it was counted. */
     struct CountedWork {
         std::size_t unfinished = 0;
         std::uint64_t look = 0;
@@ -41,26 +44,27 @@
 
     void begin(Milliseconds now);
     /**
-     * The step at this time. Until the bound a step of the end is over only when
-     * nothing is left by a count that was asked for at the look before, after
-     * the one that began the step: an older count says nothing of what a late
-     * thread has accepted since.
+     * Moves to the next step when it is due, and returns the current step.
+     * Before the time limits, Draining and Closing are over only when a count
+     * of zero was requested at the previous call (look) or later, and after the
+     * call that began the step. The traffic thread may be delayed: an older
+     * count does not include what it has accepted since.
      */
     Step advance(const CountedWork& work, Milliseconds now);
     Step step() const { return this->current; }
-    /** The number of the last look; the next count is made for it. */
+    /** The number of the last call of advance(); the next count is made for it. */
     std::uint64_t look() const { return this->looks; }
 
 private:
     void enter(Step next);
-    /** Callers that come without end do not keep the listening open for ever. */
+    /** Returns true when the listener must close even though callers keep connecting. */
     bool mustClose(Milliseconds since) const;
 
     Options options;
     Step current = Step::None;
     Milliseconds began;
     std::uint64_t looks = 0;
-    std::uint64_t stepSince = 0; // the look that began the present step
+    std::uint64_t stepSince = 0; // the look at which the current step began
 };
 
 }
--- a/Source/Program/TrafficThread.h
+++ b/Source/Program/TrafficThread.h
@@ -15,7 +15,7 @@
 
 namespace burlreach {
 
-/** The thread that carries requests, with the timer of their decisions. */
+/** The thread that forwards requests, and the timer for the node's decisions on them. */
 class TrafficThread {
 public:
     struct Dependencies {
@@ -35,11 +35,11 @@
     std::error_code start();
     void stop();
 
-    /** Runs it on the thread: at once when called there. */
+    /** Runs the task on this thread; immediately when called from it. */
     void run(std::function<void()> task);
     RequestForwarder& requestDesk() { return this->desk; }
     ReadinessPages& readinessPages() { return this->readiness; }
-    /** Sends a RequestTimer at this time; only to be called on the thread. */
+    /** Posts a RequestTimer event at this time. Call it on this thread only. */
     void wakeAt(Milliseconds due);
 
 private:
--- a/Tests/Program/EarlySignalsTest.cpp
+++ b/Tests/Program/EarlySignalsTest.cpp
@@ -2,7 +2,7 @@
 
 #include <csignal>
 
-// Redefines operator new: after all other headers.
+// Redefines operator new, so it must follow all other headers.
 #include <CppUTest/TestHarness.h>
 
 using namespace burlreach;
@@ -20,12 +20,12 @@
 
 TEST_GROUP(EarlySignals){};
 
-// Soak, seed 3: a signal before the handlers were there ended the process.
+// A signal that arrived before the handlers were installed terminated the process.
 TEST(EarlySignals, WaitUntilTheyCanBeTaken)
 {
     seen = 0;
     holdSignals();
-    // Without the hold the default of each would end this test's process here.
+    // If they were not blocked, the default action of each would terminate the test process here.
     raise(SIGHUP);
     raise(SIGTERM);
     LONGS_EQUAL(0, seen);
--- a/Tests/Program/StopSequenceTest.cpp
+++ b/Tests/Program/StopSequenceTest.cpp
@@ -1,7 +1,7 @@
 #include "Program/StopSequence.h"
 #include "Program/LineBudget.h"
 
-// Redefines operator new: after all other headers.
+// Redefines operator new, so it must follow all other headers.
 #include <CppUTest/TestHarness.h>
 
 using namespace burlreach;
@@ -12,7 +12,7 @@
 
     StopSequence stop{ { .lead = { 1000 }, .bound = { 5000 } } };
 
-    /** With a count that was made for the look before. */
+    /** Advances with a count that was made for the previous call. */
     Step advance(std::size_t unfinished, double now)
     {
         return this->stop.advance({ .unfinished = unfinished, .look = this->stop.look() }, { now });
@@ -38,7 +38,7 @@
     this->stop.begin({ 0 });
     this->advance(1, 1500);
     CHECK(this->advance(1, 2900) == Step::Draining);
-    CHECK_TEXT(this->advance(1, 3000) == Step::Closing, "late callers have half of the time that is left");
+    CHECK_TEXT(this->advance(1, 3000) == Step::Closing, "late callers are accepted for half of the remaining time");
     CHECK(this->advance(1, 4700) == Step::Closing);
     CHECK(this->advance(1, 4760) == Step::Ended);
 }
@@ -50,19 +50,19 @@
     CHECK(this->advance(0, 1000) == Step::Draining);
 }
 
-// Beside a busy machine the thread that carries requests comes late: what it
-// counted before, or while the listening ended, says nothing of the present.
+// On a busy machine the traffic thread is delayed: a count that it made before
+// the current step, or while the listener was closed, may miss newer connections.
 TEST(StopSequence, OnlyACountOfTheLookBeforeEndsIt)
 {
     this->stop.begin({ 0 });
     CHECK(this->advance(0, 1000) == Step::Draining);
     const std::uint64_t draining = this->stop.look();
     CHECK_TEXT(this->stop.advance({ .unfinished = 0, .look = draining }, { 1010 }) == Step::Draining,
-        "counted before late callers were looked for");
+        "counted before late callers were checked for");
     CHECK(this->stop.advance({ .unfinished = 0, .look = draining + 1 }, { 1020 }) == Step::Closing);
     const std::uint64_t closing = this->stop.look();
     CHECK_TEXT(this->stop.advance({ .unfinished = 0, .look = closing }, { 1050 }) == Step::Closing,
-        "counted before the last connections were taken");
+        "counted before the last connections were accepted");
     CHECK_TEXT(this->stop.advance({ .unfinished = 0, .look = closing }, { 1100 }) == Step::Closing, "late");
     CHECK_TEXT(this->stop.advance({ .unfinished = 0, .look = closing + 1 }, { 1150 }) == Step::Closing, "late");
     CHECK(this->stop.advance({ .unfinished = 0, .look = closing + 3 }, { 1200 }) == Step::Ended);
