--- a/Benchmarks/Bench.cc
+++ b/Benchmarks/Bench.cc
@@ -1,5 +1,5 @@
-// Runs the benchmarks in virtual time and prints one JSON object. --check FILE
-// compares with committed bounds and exits 1 past one.
+// Runs the benchmarks in virtual time and prints the results as one JSON object.
+// --check FILE compares them with the bounds in FILE and exits with 1 when one is violated.
 
 #include "Benchmarks/PolicyRun.h"
 #include "Tests/Virtual/ParallelRuns.h"
@@ -20,7 +20,7 @@
 constexpr std::size_t Seeds = 6;
 constexpr std::size_t CaseCount = static_cast<std::size_t>(Disturbance::Count);
 
-/** One run and its figures. */
+/** One run and its results. */
 struct Job {
     Disturbance disturbance;
     std::size_t contender;
@@ -70,7 +70,7 @@
     };
 }
 
-/** Of the cases whose names hold this text. */
+/** Runs the cases whose names contain this text, and returns their results by case and contender. */
 json policyFigures(const std::string& part)
 {
     const std::vector<Contender> all = contenders();
@@ -100,7 +100,7 @@
     return figures;
 }
 
-/** Bounds by JSON pointer, each with at_most or at_least. */
+/** Checks the results against the bounds in a file: a JSON pointer for each, with at_most or at_least. */
 int check(const json& figures, const std::string& path)
 {
     std::ifstream file(path);
--- a/Benchmarks/Contender.cpp
+++ b/Benchmarks/Contender.cpp
@@ -42,7 +42,7 @@
     return { .name = name, .policies = std::make_shared<Factory<LoadAwarePolicy>>(true), .requests = requests };
 }
 
-/** Asks few servers and sends at once, however slow the best of them is. */
+/** Probes three servers once and sends to the best of them immediately, even if it is slow. */
 Contender sendingAtOnce()
 {
     Contender contender = own("burlreach-without-holding-back", true, true);
--- a/Benchmarks/Contender.h
+++ b/Benchmarks/Contender.h
@@ -9,7 +9,7 @@
 
 namespace burlreach {
 
-/** A way of choosing backend servers, burlreach's own or a baseline. */
+/** A routing configuration to compare: burlreach, with or without some features, or a baseline policy. */
 struct Contender {
     std::string name;
     std::shared_ptr<const PolicyFactory> policies;
--- a/Benchmarks/DecisionBenchmark.cc
+++ b/Benchmarks/DecisionBenchmark.cc
@@ -1,5 +1,5 @@
-// Wall time of the decisions for one request, from its arrival to its answer,
-// by the number of backend servers.
+// Measures the wall time of all decisions for one request, from its arrival to its
+// answer, depending on the number of backend servers.
 
 #include "Configuration/ConfigurationCodec.h"
 #include "Tests/Virtual/VirtualFleet.h"
--- a/Benchmarks/PolicyRun.cpp
+++ b/Benchmarks/PolicyRun.cpp
@@ -17,8 +17,9 @@
 constexpr double NoiseShare = 0.25;
 constexpr double NoiseFactor = 5;
 constexpr double WorkSpread = 0.5;
-/** Nothing is served while all instances are gone; a caller that is cut off tries again after this. */
+/** How long all instances are down; nothing is served meanwhile. */
 constexpr Milliseconds Outage{ 1500 };
+/** After this a caller retries whose connection broke or who could not connect. */
 constexpr Milliseconds CutCallerWaits{ 1000 };
 constexpr Milliseconds WorstWindow{ 2000 };
 
@@ -40,7 +41,7 @@
     "slow-spells",
 };
 
-/** Work of several noisy spells; a full server answers fewer requests than one with a slot or two free. */
+/** Requests span several noise intervals; a full server has a lower throughput than one with a slot or two free. */
 constexpr PolicyScene Crowded{ .instances = 17,
     .slots = 6,
     .work = { 220 },
@@ -55,7 +56,7 @@
     .isNoisy = true,
     .isCrowded = true };
 
-/** Each instance sees two requests a second; a server's budget leaves each of them one probe a second. */
+/** Each instance gets two requests a second; a server's probe budget allows each instance one probe a second. */
 constexpr PolicyScene Many{ .instances = 150,
     .servers = 40,
     .work = { 150 },
@@ -67,8 +68,9 @@
     .isCrowded = true };
 
 /**
- * Work that began slowly stays slow and holds one of two slots five times as
- * long; each instance sees two requests a second and learns little by itself.
+ * A request that starts slowly stays slow and occupies one of two slots five times
+ * as long. Each instance gets two requests a second, so it learns little from its
+ * own requests.
  */
 constexpr PolicyScene Spells{ .instances = 95,
     .servers = 60,
@@ -112,7 +114,7 @@
     }
 }
 
-/** Requests a second that the servers can do, with as many slots taken as is best. */
+/** Returns the capacity of the servers in requests a second, at the best number of slots in use. */
 double capacityOf(const PolicyScene& scene)
 {
     const double noise = scene.isCrowded ? 1 - NoiseShare + NoiseShare / NoiseFactor : 1;
@@ -183,7 +185,7 @@
         return this->fleet.clock().after(CutCallerWaits, [this, number] { this->attempt(number); });
     const std::uint64_t caller = this->fleet.send(instance, "bookings.example", "GET", "/search", timeLeft);
     this->wishOfCaller[caller] = number;
-    // It may have had its answer at once.
+    // The caller may already have its answer.
     if (this->fleet.callers().at(caller).outcome != CallerOutcome::Waiting)
         this->callerEnded(this->fleet.callers().at(caller));
 }
@@ -234,7 +236,7 @@
         return this->drainTwo();
     case Disturbance::CrowdedLoss:
     case Disturbance::DataCentreLost:
-        // Servers are spread over three data centres in the order of their names.
+        // Servers are assigned to three data centres in turn: these four are all of one.
         for (const char* id : { "s0", "s3", "s6", "s9" })
             this->fleet.server(id).setFault(ServerFault::Dark);
         return;
@@ -287,7 +289,7 @@
 
 RunFigures PolicyRun::figures() const
 {
-    /** Callers whose first tries fell into two seconds. */
+    /** Callers whose first attempts fell into the same two seconds. */
     struct Window {
         double sent = 0;
         double inTime = 0;
--- a/Source/Metrics/Reasons.h
+++ b/Source/Metrics/Reasons.h
@@ -61,7 +61,7 @@
     LimitsNamed, // rate limits of backend servers that began, learned from an answer or from another instance
     PermitsAsked, // requested from the granting instance, for requests to servers with a rate limit
     PermitsGranted, // granted by this instance
-    PermitsUnanswered, // the instance asked did not answer or is not the granting one, or none is known
+    PermitsUnanswered, // the instance asked did not answer or may not grant, or none is known
     ConfigurationsAdopted,
     ConfigurationsUnreadable,
     StoreAnswers,
--- a/Source/Program/ControlClient.cpp
+++ b/Source/Program/ControlClient.cpp
@@ -26,7 +26,7 @@
     const std::string path = "/burlreach.v1.Operators/" + std::string(method);
     const auto result = this->client.Post(path, encodeMessage(request, true), ProtobufType);
     if (!result)
-        return "the instance gave no answer (" + httplib::to_string(result.error())
+        return "the instance did not answer (" + httplib::to_string(result.error())
             + "); check --address or name another instance";
     const bool asProtobuf = isProtobufType(result->get_header_value("Content-Type"));
     return decodeMessage(result->body, asProtobuf, answer);
--- a/Source/Program/ControlCommand.cpp
+++ b/Source/Program/ControlCommand.cpp
@@ -356,7 +356,7 @@
     auto parsed = parseNetworkAddress(this->address);
     if (parsed)
         return parsed;
-    std::cerr << "--address: is not an address; write an IP number and a port, such as 127.0.0.1:8081\n";
+    std::cerr << "--address: is not a valid address; write an IP number and a port, such as 127.0.0.1:8081\n";
     this->result = ExitCode::Usage;
     return std::nullopt;
 }
@@ -369,7 +369,7 @@
     ControlClient client(*parsed);
     v1::ChangeAnswer answer;
     if (const auto problem = client.call("Change", request, answer)) {
-        std::cerr << "change " << request.change_id() << ": " << *problem << ". Ask again with --change-id "
+        std::cerr << "change " << request.change_id() << ": " << *problem << ". Repeat the call with --change-id "
                   << request.change_id() << '\n';
         this->result = ExitCode::Unreachable;
         return;
--- a/Source/Program/Instance.cpp
+++ b/Source/Program/Instance.cpp
@@ -204,7 +204,7 @@
 void Instance::listenFailed(std::string_view place, const NetworkAddress& address, const std::error_code& error) const
 {
     this->log.error("The address " + address.text() + " cannot be used: " + error.message()
-        + ". Free it or name another one in " + std::string(place) + ".");
+        + ". Free it or set another one in " + std::string(place) + ".");
 }
 
 std::error_code Instance::start()
--- a/Source/Settings/DuplicateKeys.cpp
+++ b/Source/Settings/DuplicateKeys.cpp
@@ -23,7 +23,7 @@
     void key(const std::string& name)
     {
         if (!this->levels.back().keys.insert(name).second)
-            this->findings->add(this->placeOf(name), "stands there twice; keep one of them");
+            this->findings->add(this->placeOf(name), "is a duplicate key; keep only one of them");
         this->levels.back().current = name;
     }
 
--- a/Source/Settings/SettingsReader.cpp
+++ b/Source/Settings/SettingsReader.cpp
@@ -108,7 +108,7 @@
             "bound");
     if (settings.callersAddress == settings.operatorsAddress || settings.callersAddress == settings.peersAddress
         || settings.operatorsAddress == settings.peersAddress)
-        findings.add("/listen", "names one address twice; give callers, operators and peers an address each");
+        findings.add("/listen", "uses one address twice; give callers, operators and peers different addresses");
 }
 
 }
--- a/Source/Settings/SettingsSection.cpp
+++ b/Source/Settings/SettingsSection.cpp
@@ -56,12 +56,12 @@
 
 void SettingsSection::requiredText(std::string_view key, std::string& value)
 {
-    constexpr std::string_view wanted = "write a text that is not empty";
+    constexpr std::string_view wanted = "write a non-empty string";
     const nlohmann::json* found = this->findRequired(key, wanted);
     if (!found)
         return;
     if (!found->is_string() || found->get<std::string>().empty()) {
-        this->findings->add(this->placeOf(key), "is not a text or empty; " + std::string(wanted));
+        this->findings->add(this->placeOf(key), "is not a string or is empty; " + std::string(wanted));
         return;
     }
     value = found->get<std::string>();
@@ -121,7 +121,8 @@
     if (isGood)
         value = found->get<double>();
     else
-        this->findings->add(this->placeOf(key), "is no share; write a number from 0 to 1, such as 0.1");
+        this->findings->add(
+            this->placeOf(key), "is not a share in the allowed range; write a number from 0 to 1, such as 0.1");
 }
 
 void SettingsSection::optionalSize(std::string_view key, NumberRange range, std::size_t& value)
@@ -148,7 +149,7 @@
         return;
     const auto read = found->is_string() ? parseDuration(found->get<std::string>()) : std::nullopt;
     if (found->is_string() && !read) {
-        this->findings->add(this->placeOf(key), "is no span; write one such as \"1500ms\" or \"2.5s\"");
+        this->findings->add(this->placeOf(key), "is not a duration; write one such as \"1500ms\" or \"2.5s\"");
         return;
     }
     if (!read) {
--- a/Utilities/CMake/BurlreachCompileOptions.cmake
+++ b/Utilities/CMake/BurlreachCompileOptions.cmake
@@ -1,4 +1,4 @@
-# Flags for the project's own targets. Generated code is built without them.
+# Compiler flags for the project's own targets; generated code is built without them.
 add_library(burlreach_compile_options INTERFACE)
 target_compile_options(burlreach_compile_options INTERFACE
     -Wall -Wextra -Wno-missing-field-initializers -Wpedantic -Wshadow=local -Wnon-virtual-dtor -Woverloaded-virtual
@@ -9,8 +9,8 @@
     add_link_options(-fsanitize=${BURLREACH_SANITIZERS})
 endif()
 
-# burlreach_add_package(NAME LIBRARY...): one folder under Source/ as a static
-# library of all its .cpp files.
+# burlreach_add_package(NAME LIBRARY...): builds one folder under Source/ as a
+# static library of all its .cpp files.
 function(burlreach_add_package name)
     file(GLOB sources CONFIGURE_DEPENDS "${CMAKE_CURRENT_SOURCE_DIR}/*.cpp")
     if(sources)
--- a/Utilities/CMake/BurlreachLibraries.cmake
+++ b/Utilities/CMake/BurlreachLibraries.cmake
@@ -1,4 +1,4 @@
-# The libraries of Utilities/packages.txt, as targets.
+# Defines targets for the libraries in Utilities/packages.txt.
 find_package(Threads REQUIRED)
 find_package(Protobuf REQUIRED)
 find_package(nlohmann_json REQUIRED)
@@ -15,7 +15,8 @@
     pkg_check_modules(CPPUTEST REQUIRED IMPORTED_TARGET cpputest)
 endif()
 
-# The flags of the library's package decide the layout of its classes.
+# The flags in cpp-httplib's package determine its class layout, so all users must
+# compile with them.
 pkg_check_modules(HTTPLIB REQUIRED IMPORTED_TARGET cpp-httplib)
 add_library(burlreach_httplib INTERFACE)
 target_link_libraries(burlreach_httplib INTERFACE PkgConfig::HTTPLIB Threads::Threads)
--- a/Utilities/fleet.sh
+++ b/Utilities/fleet.sh
@@ -1,5 +1,5 @@
-# Sourced by scripts that need real processes on loopback. Every process that
-# is started here is ended by stop_fleet.
+# Sourced by scripts that need real processes on loopback. stop_fleet stops every
+# process started here.
 # shellcheck shell=bash
 
 fleet_pids=()
