--- a/Source/Program/StopSequence.h
+++ b/Source/Program/StopSequence.h
@@ -13,7 +13,8 @@
  *    callers that come anyway are still served.
  * 2. Draining: requests in progress finish; late callers are still served.
  * 3. Closing: when no unfinished work is left and no caller has connected
- *    recently, the listener is closed; requests on the last connections finish.
+ *    recently, or after half of the time between `lead` and `bound`, the listener
+ *    is closed; requests on the last connections finish.
  * 4. Ended: the process exits, at the latest at the time limit (`bound`).
  *
  * The listener is closed as late as possible, since closing it can reset
