--- a/Source/Metrics/Reasons.h
+++ b/Source/Metrics/Reasons.h
@@ -71,8 +71,7 @@
     CreditsAsked, // requested from the granting instance, for requests at this instance
     CreditsGranted, // granted by this instance
     ServerEndsSeen, // crashes of servers during a request from this instance
-    RequestsFoundCrashing, // requests classified as crashing: each with three server crashes that no other request
-                           // explains
+    RequestsFoundCrashing, // classified as crashing: three server crashes each that no other request explains
     CrashesDisproved, // requests during which servers had crashed, and which were then answered at this instance
     Count
 };
