--- a/Source/Program/ControlCommand.cpp
+++ b/Source/Program/ControlCommand.cpp
@@ -35,7 +35,7 @@
     }
 }
 
-/** An option of a verb that sets a field of a message. */
+/** Adds an option to a verb that sets a field of a protobuf message. */
 template <typename Value, typename Message>
 CLI::Option* addField(
     CLI::App& verb, const std::string& name, Message& message, void (Message::*set)(Value), const std::string& help)
@@ -263,7 +263,7 @@
     addTextField(
         *set, "--name", [this](const std::string& value) { this->customer.set_name(value); }, "Name of the customer")
         ->required();
-    // The key itself goes no further than here.
+    // Only the digest of the key is sent; the key itself does not leave this process.
     set->add_option_function<std::vector<std::string>>(
         "--key",
         [this](const std::vector<std::string>& keys) {
@@ -356,7 +356,7 @@
     auto parsed = parseNetworkAddress(this->address);
     if (parsed)
         return parsed;
-    std::cerr << "--address: is not an address; write an IP number and a port, such as 127.0.0.1:8081\n";
+    std::cerr << "--address: is not a valid address; write an IP number and a port, such as 127.0.0.1:8081\n";
     this->result = ExitCode::Usage;
     return std::nullopt;
 }
@@ -369,7 +369,7 @@
     ControlClient client(*parsed);
     v1::ChangeAnswer answer;
     if (const auto problem = client.call("Change", request, answer)) {
-        std::cerr << "change " << request.change_id() << ": " << *problem << ". Ask again with --change-id "
+        std::cerr << "change " << request.change_id() << ": " << *problem << ". Repeat the call with --change-id "
                   << request.change_id() << '\n';
         this->result = ExitCode::Unreachable;
         return;
