--- a/Tests/Virtual/LimitPlay.cpp
+++ b/Tests/Virtual/LimitPlay.cpp
@@ -9,7 +9,7 @@
 constexpr Milliseconds Settling{ 8000 };
 constexpr Milliseconds UnderLoad{ 2000 };
 constexpr Milliseconds Watched{ 14000 };
-/** Until all instances know a limit by the news or by themselves. */
+/** Time until every instance knows a limit, from gossip updates or from the server's own answers. */
 constexpr Milliseconds ToldWithin{ 1500 };
 constexpr double LeastUsed = 0.7;
 
@@ -54,14 +54,15 @@
     const auto despite = sentDespiteWord(fleet, server, bound);
     const std::size_t most = mostInWindow(despite, bound.window, from + bound.settling);
     if (static_cast<double>(most) > allowed(play.limit))
-        found.push_back(sentence(server, "was sent by those that had heard it", most, play.limit));
+        found.push_back(sentence(server, "requests from instances that had received the limit", most, play.limit));
     const auto all = sentTo(fleet, server, from + ToldWithin);
     const std::size_t mostOfAll = mostInWindow(all, bound.window, from);
     if (play.isTold && static_cast<double>(mostOfAll) > allowed(play.limit))
-        found.push_back(sentence(server, "was sent by all together", mostOfAll, play.limit));
+        found.push_back(sentence(server, "requests from all instances", mostOfAll, play.limit));
     const double used = static_cast<double>(all.size()) / (play.limit * ((Watched - ToldWithin) / Second));
     if (play.isUsed && used < LeastUsed)
-        found.push_back(sentence(server, "was not used, in all", all.size(), play.limit));
+        found.push_back(
+            sentence(server, "used too little of its limit, requests from all instances", all.size(), play.limit));
 }
 
 }
--- a/Tests/Virtual/LimitsKept.cpp
+++ b/Tests/Virtual/LimitsKept.cpp
@@ -31,7 +31,8 @@
 
 std::vector<Milliseconds> sentDespiteWord(const VirtualFleet& fleet, const std::string& server, const LimitBound& bound)
 {
-    std::map<std::pair<std::size_t, std::uint64_t>, Milliseconds> heard; // first, by life of an instance
+    std::map<std::pair<std::size_t, std::uint64_t>, Milliseconds>
+        heard; // time of the first report, by instance and life
     for (const HeardNotice& notice : fleet.heardNotices()) {
         if (notice.notice.limit && isServer(notice.backendServer, server))
             heard.emplace(std::pair(notice.instance, notice.life), notice.at);
@@ -41,7 +42,7 @@
         const auto known = heard.find({ attempt.instance, attempt.life });
         if (known == heard.end() || !isServer(attempt.backendServer, server))
             continue;
-        // Where nobody listens the server gets nothing.
+        // Without a listening process the request did not reach the server.
         if (attempt.isListening && attempt.at >= known->second + bound.onItsWay)
             times.push_back(attempt.at);
     }
--- a/Tests/Virtual/LimitsKept.h
+++ b/Tests/Virtual/LimitsKept.h
@@ -9,26 +9,28 @@
 
 namespace burlreach {
 
-/** What a limit that a backend server named allows in a sliding window. */
+/** How many requests a limit reported by a backend server allows in a sliding window. */
 struct LimitBound {
     Milliseconds window{ 4000 };
-    double factor = 1.5; // of the limit
-    double more = 5; // requests
-    Milliseconds settling{ 3000 }; // from the first word on; windows that end later count
-    Milliseconds onItsWay{ 500 }; // an instance is bound so long after it heard the word
+    double factor = 1.5; // multiple of the limit that is allowed
+    double more = 5; // requests allowed in a window on top of that
+    Milliseconds settling{ 3000 }; // after the first report of the limit; only windows that end later are checked
+    Milliseconds onItsWay{ 500 }; // an instance must keep to a limit only this long after it received the report
 };
 
-/** The most requests that a server got in one window, by the times at which they were sent. */
+/** The highest number of requests in one window, from the times at which they were sent; only windows that end at or
+ * after endsAfter count. */
 std::size_t mostInWindow(std::vector<Milliseconds> times, Milliseconds window, Milliseconds endsAfter);
 
 /**
- * When requests came to this backend server from lives of instances that had
- * heard from the server itself, long enough before, that it has a limit.
+ * The times at which instances sent requests to this backend server although they had received its limit from the
+ * server itself, in the same life and at least LimitBound::onItsWay before.
  */
 std::vector<Milliseconds> sentDespiteWord(
     const VirtualFleet& fleet, const std::string& server, const LimitBound& bound);
 
-/** The servers that got more than their limits allowed until they named them no more, a sentence each. */
+/** One sentence for each server that was sent more than its limit allows; requests sent after until, when servers stop
+ * reporting limits, are ignored. */
 std::vector<std::string> limitsExceeded(const VirtualFleet& fleet, const LimitBound& bound, Milliseconds until);
 
 }
--- a/Tests/Virtual/VirtualBackendServer.cpp
+++ b/Tests/Virtual/VirtualBackendServer.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double SlowFactor = 10;
-/** Work of less than this is done; sums of doubles leave a rest. */
+/** Remaining work below this counts as done, since sums of doubles leave a rounding error. */
 constexpr Milliseconds NoWork{ 1e-6 };
 constexpr double Percent = 100;
 constexpr int StatusOk = 200;
@@ -64,7 +64,7 @@
         .done = std::move(done),
         .left = {},
         .crashesServers = arrival.crashesServers };
-    // It ended while the request was on the way.
+    // The process ended while the request was on the way.
     if (this->present == ServerFault::Dead)
         return this->tell(job, AttemptResult::Broken);
     if (this->present == ServerFault::Replaced || arrival.expectedServer != this->options.id)
@@ -192,7 +192,7 @@
     this->waiting.clear();
     this->running.clear();
     this->planNextEnd();
-    // A machine without power says nothing; a dead process resets its connections.
+    // After a power loss nothing is sent; when only the process dies, its connections are reset.
     if (next == ServerFault::Dark)
         return;
     for (const Job& job : lost)
--- a/Tests/Virtual/VirtualBackendServer.h
+++ b/Tests/Virtual/VirtualBackendServer.h
@@ -15,20 +15,20 @@
 
 namespace burlreach {
 
-/** What is wrong with a backend server. */
+/** The fault that is injected into a backend server. */
 enum class ServerFault {
     None,
-    Dead, // nobody listens at the address
-    Dark, // the machine says nothing any more
-    Hangs, // takes requests and never answers
+    Dead, // no process listens at the address
+    Dark, // powered off: connections time out without a reply
+    Hangs, // accepts requests and never answers
     LosesAnswers, // runs requests and closes the connection instead of answering
-    Refuses, // says that it did not run the request
+    Refuses, // answers that it did not run the request
     Fails, // answers 500 at once
-    Slow, // work takes ten times as long
-    Replaced // another backend server has the address
+    Slow, // work takes ten times as long as usual
+    Replaced // another backend server listens at the address
 };
 
-/** What a backend server told, and of which request. */
+/** How an attempt ended, for which request, and the notice that came with the answer. */
 struct ServerWord {
     AttemptEnd end;
     std::string requestId;
@@ -36,19 +36,19 @@
 };
 
 /**
- * A stand-in for a backend server: slots, a short queue, load figures, a
- * journal of what it ran.
+ * A fake of a backend server in virtual time, with slots, a short queue, load reports, and a journal of the requests
+ * that it ran.
  */
 class VirtualBackendServer {
 public:
     using Done = std::function<void(const ServerWord&)>;
 
-    /** A request as it comes to the server. */
+    /** A request as the server receives it. */
     struct Arrival {
         std::string requestId;
         std::string expectedServer;
         std::uint64_t attempt = 0;
-        bool crashesServers = false; // the server's process ends when it has worked on it
+        bool crashesServers = false; // the server's process crashes at the end of the work on it
     };
 
     struct Options {
@@ -56,43 +56,45 @@
         std::size_t slots = 3;
         std::size_t queue = 6;
         Milliseconds work{ 20 };
-        double workSpread = 0; // of the work of one request
-        bool changesSpeedAtWork = false; // else a request keeps the speed at which it began
-        double kneeUse = 1; // of its slots; with more taken all work there is slower
-        double kneeFactor = 1; // how many times longer work then takes
-        Milliseconds restart{ 3000 }; // after a crash the process is there again
+        double workSpread = 0; // random spread of the work of one request
+        bool changesSpeedAtWork
+            = false; // applies changes of speed to running requests; otherwise each keeps the speed at which it began
+        double kneeUse = 1; // share of the slots; with more of them taken, all work on the server is slower
+        double kneeFactor = 1; // how many times longer work takes beyond that share
+        Milliseconds restart{ 3000 }; // time from a crash until the process runs again
     };
 
     VirtualBackendServer(Options options, VirtualTime& time, std::uint64_t seed);
 
-    /** A request arrived; the word comes later, or never. */
+    /** Takes a request; calls done when the attempt ends, or never if the fault in force prevents an answer. */
     void receive(const Arrival& arrival, Done done);
     void cancel(std::uint64_t attempt);
-    /** Nothing when it does not answer probes. */
+    /** The answer to a probe, or nothing if the server does not answer probes. */
     std::optional<ReportedLoad> probed() const;
-    /** What it says of itself in each answer; a pause only where it turns something away. */
+    /** The notice that the server sends with an answer; it asks for a pause only when it refuses the request or probe.
+     */
     ServerNotice notice(bool turnsAway) const
     {
         return { .isLeaving = this->leaving, .pause = turnsAway ? this->pause : Milliseconds{}, .limit = this->limit };
     }
 
     void setFault(ServerFault fault);
-    /** Tells figures of an idle server, whatever is there. */
+    /** Makes load reports show an idle server, whatever its real load. */
     void setFrozenReport(bool frozen) { this->reportIsFrozen = frozen; }
-    /** Says in its answers that it is leaving. */
+    /** Sets whether answers report that the server is leaving. */
     void setLeaving(bool says) { this->leaving = says; }
-    /** Asks for so long a pause when it turns something away: requests while it refuses or is full, probes while it
+    /** Sets the pause that refusals ask for: of requests while the server refuses or is full, of probes while it
      * refuses. */
     void setPause(Milliseconds span) { this->pause = span; }
-    /** Names in its answers how many requests a second it takes from all instances together; nothing: no limit. */
+    /** Sets the limit that answers report, in requests per second from all instances together; nothing: no limit. */
     void setLimit(std::optional<double> perSecond) { this->limit = perSecond; }
-    /** How many times longer work takes for a while, as by a noisy neighbour. */
+    /** Sets how many times longer work takes from now on, as with a noisy neighbour. */
     void setNoise(double factor);
     ServerFault fault() const { return this->present; }
     const std::string& id() const { return this->options.id; }
     const std::map<std::string, int>& journal() const { return this->runs; }
     std::size_t arrivals() const { return this->arrivalCount; }
-    /** When the process ended under a request that crashes servers. */
+    /** The times at which the process crashed on a request that crashes servers. */
     const std::vector<Milliseconds>& crashes() const { return this->crashTimes; }
 
 private:
@@ -100,17 +102,17 @@
         std::string requestId;
         std::uint64_t attempt = 0;
         Done done;
-        Milliseconds left; // of its work, at the usual speed
+        Milliseconds left; // remaining work, at the usual speed
         bool crashesServers = false;
     };
 
     void startNext();
     double factorOfMoment() const;
-    /** How many times longer what is left of the work takes at the moment. */
+    /** How many times longer the remaining work takes at present. */
     double slowdown() const;
-    /** Takes off what was done since the last change of speed. */
+    /** Subtracts the work done since the last change of speed from what remains of each running request. */
     void advance();
-    /** Plans the next end of a request at the present speed. */
+    /** Schedules the next completion of a request at the present speed. */
     void planNextEnd();
     void endFinished();
     void finish(const Job& job);
@@ -127,7 +129,7 @@
     Milliseconds pause;
     std::optional<double> limit;
     bool reportIsFrozen = false;
-    std::uint64_t plan = 0; // grows with each planned end; earlier ones count no more
+    std::uint64_t plan = 0; // number of the latest scheduled completion; earlier ones are ignored
     Milliseconds advancedAt;
     std::size_t arrivalCount = 0;
     std::vector<Milliseconds> crashTimes;
--- a/Tests/Virtual/VirtualCaller.h
+++ b/Tests/Virtual/VirtualCaller.h
@@ -10,21 +10,21 @@
 
 enum class CallerOutcome {
     Waiting,
-    Answered, // a backend server's whole answer
-    Failed, // a backend server's answer that says it failed
-    NotRun, // told: no backend server ran it, and none will
-    Unknown, // told: it may have run
-    Cut, // the instance ended without a word
-    Left // the caller went away by itself
+    Answered, // received a backend server's complete answer
+    Failed, // received a backend server's error answer
+    NotRun, // refused: no backend server ran the request, and none will
+    Unknown, // refused: a backend server may have run the request
+    Cut, // the instance was killed before it answered
+    Left // the caller gave up and disconnected
 };
 
-/** One request as its caller sees it. */
+/** One request and its outcome, as its caller sees them. */
 struct VirtualCaller {
     std::uint64_t number = 0;
     std::string requestId;
     std::size_t instance = 0;
     bool runOnce = false;
-    std::string kind; // of the caller's own choice
+    std::string kind; // label that the test chose to tell requests apart
     bool crashesServers = false;
     Milliseconds sentAt;
     Milliseconds deadline;
@@ -32,7 +32,7 @@
     RefusalReason reason = RefusalReason::NoRoute;
     Milliseconds comeBackAfter;
     Milliseconds endedAt = Never;
-    std::string answerOf; // the request that the answer belongs to
+    std::string answerOf; // id of the request to which the received answer belongs
 };
 
 }
--- a/Tests/Virtual/VirtualFleet.cpp
+++ b/Tests/Virtual/VirtualFleet.cpp
@@ -14,12 +14,12 @@
 constexpr std::uint16_t FirstServerPort = 10000;
 constexpr std::uint32_t ServerPorts = 50000;
 constexpr const char* DataCentres[] = { "dc-1", "dc-2", "dc-3" };
-/** In percent of a processor. */
+/** Capacity of a strong instance, in percent of a processor. */
 constexpr std::uint32_t StrongCapacity = 50;
-/** The link of a strong instance against that of any other. */
+/** How many times faster the link of a strong instance is than that of any other. */
 constexpr double StrongLink = 20;
 
-/** The same number for no two attempts of the fleet. */
+/** A number that is unique among all attempts of the fleet. */
 AttemptNumber attemptAt(std::size_t instance, AttemptNumber attempt)
 {
     constexpr AttemptNumber mostInstances = 1000;
@@ -223,7 +223,7 @@
         return;
     }
     std::visit([&](const auto& item) { this->tell(instance, StepName<std::decay_t<decltype(item)>>); }, event);
-    // The observer may have ended it or brought it to a stand.
+    // The observer may have killed or suspended the instance.
     if (!place.node || place.life != life)
         return;
     if (place.isFrozen)
@@ -368,7 +368,7 @@
         return this->time.after(this->options.toServer * 2, notSent);
     if (server->fault() == ServerFault::Dark)
         return this->time.after(this->options.connectTimeout, notSent);
-    // Ids of servers carry service and address; the fakes know the short one.
+    // A full server id contains service and address; the fakes know only the name in it.
     const bool isMeant = action.backendServer.find("/" + server->id() + "@") != std::string::npos;
     const std::string expected = isMeant ? server->id() : action.backendServer;
     const VirtualBackendServer::Arrival arrival{ .requestId = requestId,
--- a/Tests/Virtual/VirtualFleet.h
+++ b/Tests/Virtual/VirtualFleet.h
@@ -17,19 +17,19 @@
 
 namespace burlreach {
 
-/** A request was sent to a backend server. */
+/** Record of a request sent to a backend server. */
 struct SentAttempt {
     std::size_t instance = 0;
     std::uint64_t life = 0; // of the instance
     std::string requestId;
-    std::string customer; // as the server is told
+    std::string customer; // as sent to the backend server
     std::string backendServer;
     Milliseconds at;
-    bool isListening = false; // a process was there to take it
+    bool isListening = false; // a process listened at the address
     bool crashesServers = false;
 };
 
-/** A probe was sent to a backend server. */
+/** Record of a probe sent to a backend server. */
 struct SentProbe {
     std::size_t instance = 0;
     std::uint64_t life = 0; // of the instance
@@ -37,7 +37,7 @@
     Milliseconds at;
 };
 
-/** What a backend server said of itself has come to the decisions of an instance. */
+/** Record of a backend server's notice that was delivered to an instance's Node. */
 struct HeardNotice {
     std::size_t instance = 0;
     std::uint64_t life = 0; // of the instance
@@ -46,29 +46,28 @@
     Milliseconds at;
 };
 
-/** What a caller sends. */
+/** A request as a caller sends it. */
 struct VirtualRequest {
     std::string host = "bookings.example";
     std::string method = "GET";
     std::string path = "/a";
     std::string caller = "10.0.2.1";
     std::string body;
-    std::string key; // empty: it brings none
+    std::string key; // the caller's own key for the request; empty: none
     Milliseconds timeLeft{ 2000 };
-    std::string kind; // of the test's own choice
+    std::string kind; // label that the test chose to tell requests apart
     bool crashesServers = false;
 };
 
 /**
- * Several instances' decisions with fakes around them, in virtual time. The
- * same Node objects as in the daemon; sockets and threads are replaced by
- * planned tasks.
+ * Several instances in virtual time, with fake callers, backend servers, and store. They run the same Node class as
+ * the daemon; scheduled tasks replace sockets and threads.
  */
 class VirtualFleet {
 public:
     struct Options {
         std::size_t instances = 3;
-        std::size_t seedInstances = 3; // the first ones are everybody's seeds
+        std::size_t seedInstances = 3; // the first instances, which every instance has as its seeds
         std::uint64_t seed = 1;
         Milliseconds toPeer{ 1 };
         Milliseconds toServer{ 1 };
@@ -78,14 +77,16 @@
         std::shared_ptr<const PolicyFactory> policies;
         RequestFlow::Options requests;
         VirtualStore::Options store;
-        std::shared_ptr<const StoreItemTranslator> translator; // null: the product's own form
-        double linkBytesPerMillisecond = 0; // of each instance, each way, one message after another; 0: endless
-        Milliseconds translation{ 5 }; // of a large item
-        std::uint32_t weakCapacity = 0; // of the others, in percent of a processor; 0: they do not know
-        std::size_t strongInstances = 0; // the first ones: their links and processors are stronger
+        std::shared_ptr<const StoreItemTranslator> translator; // null: the native form of store items
+        /** Bandwidth of each instance in each direction; messages are sent one after another. 0: unlimited. */
+        double linkBytesPerMillisecond = 0;
+        Milliseconds translation{ 5 }; // time that the translation of a large item takes
+        /** Capacity of the instances that are not strong, in percent of a processor. 0: unknown to them. */
+        std::uint32_t weakCapacity = 0;
+        std::size_t strongInstances = 0; // the first instances, which have faster links and processors
     };
 
-    /** Called before and after each event and action of an instance; tests put faults there. */
+    /** Called before and after each event and action of an instance, so that tests can inject faults there. */
     using Observer = std::function<void(std::size_t instance, std::string_view step)>;
     using CallerEnded = std::function<void(const VirtualCaller& caller)>;
 
@@ -96,26 +97,26 @@
     const VirtualBackendServer& server(const std::string& id) const { return *this->servers.at(id); }
     std::vector<std::string> serverIds() const;
 
-    /** Writes the document to the store, as after an operator's change. */
+    /** Writes the configuration to the store, as after an operator's change; returns its revision. */
     StoreRevision configure(const v1::Configuration& configuration);
     void start(std::size_t instance);
     void startAll();
     void kill(std::size_t instance);
-    /** Stands still until it is woken; what arrives meanwhile waits. */
+    /** Suspends the instance until wake(); events that arrive meanwhile are held back for it. */
     void freeze(std::size_t instance);
     void wake(std::size_t instance);
     void askToStop(std::size_t instance);
     void cutFromPeers(std::size_t instance, bool cut);
-    /** Instances of different sides do not hear each other. */
+    /** Partitions the fleet: instances of different sides do not receive each other's messages. */
     void setSide(std::size_t instance, std::size_t side) { this->nodes[instance].side = side; }
 
-    /** Sends a request; gives the caller's number. */
+    /** Sends a request; returns the caller's number. */
     std::uint64_t send(std::size_t instance, const std::string& host, const std::string& method,
         const std::string& path, Milliseconds timeLeft, const std::string& kind = {});
     std::uint64_t send(std::size_t instance, const VirtualRequest& request);
     using RequestFor = std::function<VirtualRequest(std::size_t instance)>;
 
-    /** Sends what the function gives again and again, to each instance by turns. */
+    /** Sends a request from the function at this interval, to the instances in turn. */
     void repeat(const RequestFor& requestFor, Milliseconds every);
     void leave(std::uint64_t caller);
 
@@ -133,26 +134,26 @@
     std::size_t peerBytes() const { return this->peerByteCount; }
     std::size_t probes() const { return this->probeList.size(); }
     const std::vector<SentProbe>& sentProbes() const { return this->probeList; }
-    /** Messages of the instance that sent the most since the last reset. */
+    /** The number of messages sent by the busiest instance since the last reset. */
     std::size_t mostMessagesOfOne() const;
     void resetMessagesOf() { this->messagesOf.assign(this->nodes.size(), 0); }
     void observe(Observer next) { this->observer = std::move(next); }
-    /** Called when a caller has its final word or none will come. */
+    /** Sets what is called when a caller's request has ended, with or without a final answer. */
     void whenCallerEnds(CallerEnded next) { this->callerEnded = std::move(next); }
 
 private:
-    /** An instance, or the place of one that is not running. */
+    /** The state of one instance, running or not. */
     struct Place {
         std::unique_ptr<Node> node;
         std::uint64_t life = 0;
         bool isFrozen = false;
-        bool isCut = false; // from the other instances
-        std::size_t side = 0; // of a divided fleet
+        bool isCut = false; // no messages to or from other instances
+        std::size_t side = 0; // partition to which the instance belongs
         Milliseconds requestTimer = Never;
         Milliseconds controlTimer = Never;
-        std::vector<Event> held; // arrived while it stood still
-        Milliseconds sendsUntil = LongAgo; // its link is busy so long, each way
-        Milliseconds receivesUntil = LongAgo;
+        std::vector<Event> held; // events that arrived while the instance was suspended
+        Milliseconds sendsUntil = LongAgo; // the outgoing link is busy until then
+        Milliseconds receivesUntil = LongAgo; // the incoming link is busy until then
     };
 
     NetworkAddress addressOf(std::size_t instance) const;
@@ -178,9 +179,9 @@
     void execute(std::size_t, const DecisionRecord&) { }
 
     bool isStrong(std::size_t instance) const { return instance < this->options.strongInstances; }
-    /** The time at which so many bytes are through, of which the link is then busy. */
+    /** The time at which this many bytes have passed the link; marks the link as busy until then. */
     Milliseconds throughLink(std::size_t instance, Milliseconds& busyUntil, std::size_t bytes) const;
-    /** Delivers it when all of it has come through the receiver's link. */
+    /** Delivers the event once all its bytes have passed the receiver's link. */
     void receive(std::size_t instance, std::uint64_t life, std::size_t bytes, const Event& event);
     void attemptEnded(std::size_t instance, std::uint64_t life, const SendAttempt& action, Milliseconds sentAt,
         const ServerWord& word);
@@ -192,10 +193,10 @@
     VirtualTime time;
     VirtualStore store;
     std::vector<Place> nodes;
-    std::map<std::string, std::size_t> byAddress; // instances
+    std::map<std::string, std::size_t> byAddress; // index of the instance
     std::map<std::string, std::unique_ptr<VirtualBackendServer>> servers;
     std::map<std::uint64_t, VirtualCaller> callerList;
-    std::map<std::pair<std::size_t, AttemptNumber>, std::string> answers; // request ids of answers, by attempt
+    std::map<std::pair<std::size_t, AttemptNumber>, std::string> answers; // request id, by instance and attempt
     std::map<AttemptNumber, AttemptResult> answerResults;
     std::vector<SentAttempt> sent;
     std::uint64_t lastCaller = 0;
@@ -204,15 +205,15 @@
     std::size_t peerByteCount = 0;
     std::vector<SentProbe> probeList;
     std::vector<HeardNotice> noticeList;
-    std::vector<std::size_t> messagesOf; // by instance
+    std::vector<std::size_t> messagesOf; // number of messages, by instance
     Observer observer;
     CallerEnded callerEnded;
 };
 
-/** The address that the fleet gives to the backend server of this id. */
+/** The address that the fleet assigns to the backend server with this id. */
 NetworkAddress virtualAddress(const std::string& serverId);
 
-/** A configuration with one service on all of these backend servers. */
+/** A configuration with one service that all of these backend servers provide. */
 v1::Configuration virtualConfiguration(
     const std::vector<std::string>& serverIds, std::uint32_t revision, const std::string& service = "bookings");
 
--- a/Tests/Virtual/VirtualStore.h
+++ b/Tests/Virtual/VirtualStore.h
@@ -13,22 +13,21 @@
 
 namespace burlreach {
 
-/** Of an answer, with values as text. */
+/** The size of an answer in bytes, with its values encoded as text. */
 std::size_t bytesOf(const StoreAnswer& answer);
 
-/** What is wrong with the store. */
+/** The fault that is injected into the store. */
 enum class StoreFault {
     None,
     Down, // refuses every call
-    Silent, // answers nothing
-    Slow, // answers take half a second
-    LosesAnswers // does what it is asked and says nothing
+    Silent, // accepts calls and never answers
+    Slow, // answers after half a second
+    LosesAnswers // carries out calls but sends no answer
 };
 
 /**
- * A stand-in for the store: one revision for every change, a history that can
- * be forgotten, watches, conditional writes, and faults, also for some
- * instances only.
+ * An in-memory fake of the store, with a new revision for every change, a history that can be compacted, watches,
+ * conditional writes, and faults for all instances or for some of them.
  */
 class VirtualStore {
 public:
@@ -37,21 +36,21 @@
     struct Options {
         Milliseconds latency{ 4 };
         std::size_t page = 50;
-        double linkBytesPerMillisecond = 0; // that all answers share, one after another; 0: endless
-        Milliseconds staleBehind; // how old an answer is that may be stale
+        double linkBytesPerMillisecond = 0; // bandwidth that all answers share, sent one after another; 0: unlimited
+        Milliseconds staleBehind; // age of the state that reads get which allow stale answers
     };
 
     VirtualStore(Options options, VirtualTime& time);
 
-    /** The answer comes later, or never. */
+    /** Answers after the store's latency, or never if the fault in force prevents it. */
     void call(const std::string& instance, const StoreRequest& request, Answer answer);
-    /** As an operator or a backend server writes; gives the revision. */
+    /** Writes unconditionally, as an operator or a backend server does; returns the new revision. */
     StoreRevision put(const std::string& key, const std::string& value);
     void remove(const std::string& key);
-    /** Watches hear nothing any more and are cut; the changes so far are no longer known one by one. */
+    /** Cuts all watches and discards the history, so that watches can't resume from an earlier revision. */
     void forgetHistory();
     void setFault(StoreFault fault);
-    /** Turns this instance away, or no longer. */
+    /** Starts or stops rejecting the calls of this instance. */
     void setTurnedAway(const std::string& instance, bool turnedAway);
 
     StoreRevision revision() const { return this->last; }
@@ -70,7 +69,7 @@
     bool isTurnedAway(const std::string& instance) const { return this->turnedAway.contains(instance); }
     void serve(const std::string& instance, const StoreRequest& request, const Answer& answer);
     void watch(const std::string& instance, const StoreRequest& request, const Answer& answer);
-    /** What the store held at some moment. */
+    /** The contents of the store from one moment on. */
     struct State {
         std::map<std::string, StoreItem> items;
         StoreRevision revision = 0;
@@ -78,7 +77,7 @@
     };
 
     StoreAnswer range(const StoreRequest& request) const;
-    /** The latest state that is as old as a stale answer, else the first one. */
+    /** The latest state that is at least Options::staleBehind old, or the oldest one if none is. */
     const State& staleState() const;
     void keepState();
     StoreAnswer write(const StoreRequest& request);
@@ -86,13 +85,14 @@
     void wakeWatches();
     void note(const StoreItem& item);
     void reply(const Answer& answer, StoreAnswer given);
-    /** From now on, until so many bytes are through the store's link behind all before them. */
+    /** The delay from now until this many bytes have been sent over the store's link, after everything already queued.
+     */
     Milliseconds throughLink(std::size_t bytes);
 
     Options options;
     VirtualTime* time;
     std::map<std::string, StoreItem> items;
-    std::deque<State> states; // earlier ones, while answers may be stale
+    std::deque<State> states; // past states, kept only if Options::staleBehind is set
     std::deque<StoreItem> history;
     StoreRevision last = 0;
     StoreRevision forgottenThrough = 0;
--- a/Tests/Virtual/VirtualTime.h
+++ b/Tests/Virtual/VirtualTime.h
@@ -10,7 +10,8 @@
 
 namespace burlreach {
 
-/** Time that passes from one planned task to the next; tasks of one moment run in the order of planning. */
+/** A simulated clock that advances to the time of the next scheduled task; tasks due at the same time run in the order
+ * in which they were scheduled. */
 class VirtualTime final : public Clock {
 public:
     using Task = std::function<void()>;
--- a/Tests/Virtual/WordsKept.cpp
+++ b/Tests/Virtual/WordsKept.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-/** A life of an instance, and the backend server of which it heard. */
+/** An instance, its life, and the backend server whose notices it received. */
 using Hearer = std::tuple<std::size_t, std::uint64_t, std::string>;
 
-/** Sorted by time, since the fleet notes them in their order. */
+/** Received notices, sorted by time because the fleet records them in order of arrival. */
 using Heard = std::map<Hearer, std::vector<HeardNotice>>;
 
 bool forbids(const HeardNotice& heard, Milliseconds at, bool isProbe)
@@ -32,7 +32,7 @@
             [&](const HeardNotice& notice) { return forbids(notice, sent.at, isProbe); });
         if (isForbidden)
             found.push_back("entry-" + std::to_string(sent.instance + 1) + (isProbe ? " probed " : " sent to ")
-                + sent.backendServer + " at " + std::to_string(sent.at.count) + " ms, against its word");
+                + sent.backendServer + " at " + std::to_string(sent.at.count) + " ms, against the server's notice");
     }
 }
 
--- a/Tests/Virtual/WordsKept.h
+++ b/Tests/Virtual/WordsKept.h
@@ -8,10 +8,9 @@
 namespace burlreach {
 
 /**
- * What instances sent to backend servers against these servers' own words, a
- * sentence each: a request after the server had said that it leaves, a request
- * or a probe during a pause that it had asked for. A life of an instance is
- * bound by what it heard itself, from that moment on.
+ * One sentence for each request or probe that an instance sent against a server's own notice: a request after the
+ * server had reported that it is leaving, or a request or probe during a pause that the server had asked for. Only
+ * notices that the instance itself received earlier in the same life count.
  */
 std::vector<std::string> sentAgainstWords(const VirtualFleet& fleet);
 
