--- a/Tests/FaultMatrix/Cell.cpp
+++ b/Tests/FaultMatrix/Cell.cpp
@@ -22,10 +22,10 @@
 constexpr Milliseconds AfterDrain{ 3500 };
 constexpr Milliseconds DrainBound{ 2000 };
 constexpr const char* DrainedServer = "s5";
-/** s1 and s4 stand there; the drained one does not. */
+/** Contains s1 and s4, but not the drained server. */
 constexpr const char* EmptiedDataCentre = "dc-2";
 constexpr const char* ServersThere[] = { "s1", "s4" };
-/** After the faults: instances hear of what they missed. */
+/** Time after the faults within which instances must learn of changes that they missed. */
 constexpr Milliseconds EmptiedBound{ 2000 };
 constexpr std::size_t LeavingEvery = 17;
 
@@ -115,7 +115,7 @@
     const std::size_t number = this->turn++;
     const bool isRead = number % 3 == 0;
     const std::size_t instance = number % Instances;
-    // What an instance does not answer while it stands still is not its fault.
+    // Marks requests to the instance that may be suspended: a late answer there breaks no promise.
     const bool mayFreeze = instance == StruckInstance;
     const auto caller = this->fleet.send(
         instance, "bookings.example", isRead ? "GET" : "POST", "/bookings", TimeLeft, mayFreeze ? "frozen" : "");
@@ -163,12 +163,13 @@
     std::size_t watching = 0;
     for (std::size_t instance = 0; instance < Instances; ++instance) {
         if (!this->fleet.isAlive(instance)) {
-            broken.push_back("entry-" + std::to_string(instance + 1) + " is not there again");
+            broken.push_back("entry-" + std::to_string(instance + 1) + " is not running again");
             continue;
         }
         watching += this->fleet.node(instance).isWatching() ? 1 : 0;
         if (this->fleet.node(instance).storeRevision() < this->drainRevision)
-            broken.push_back("entry-" + std::to_string(instance + 1) + " does not have the last change");
+            broken.push_back(
+                "entry-" + std::to_string(instance + 1) + " does not have the latest configuration change");
     }
     if (!watching || watching > 3)
         broken.push_back(std::to_string(watching) + " instances watch the store");
@@ -193,10 +194,10 @@
             this->inject();
     });
     this->load(UnderFault);
-    // A step that did not come strikes now.
+    // If the step did not occur, the faults are injected now.
     this->inject();
     this->fleet.observe({});
-    // A change while things are wrong; nobody may go back behind it later.
+    // A configuration change during the faults; no instance may return to an earlier revision later.
     v1::Configuration emptied = virtualConfiguration(this->fleet.serverIds(), 2);
     emptied.add_emptied_data_centres(EmptiedDataCentre);
     const StoreRevision changed = this->fleet.configure(emptied);
@@ -219,19 +220,19 @@
     promises.checkCrashes(this->faults.size() > 1 ? healedAt : LongAgo, StruckInstance);
     for (const char* server : ServersThere)
         promises.checkUnused(server, healedAt + EmptiedBound, this->drainedAt);
-    // Faults that strike many servers may keep this one out of use for longer.
+    // Faults that affect many servers may keep this one out of use for longer.
     if (this->allConfined())
         promises.checkUsed(ServersThere[1], this->drainedAt);
     std::vector<std::string> broken = promises.broken();
-    // Stricter than in service: the fleet is small, and the fault does not last long.
+    // Stricter bounds than the defaults, since the fleet is small and the fault short.
     constexpr LimitBound limits{ .window = { 1000 }, .factor = 1, .settling = { 1000 } };
     for (const std::string& sentence : limitsExceeded(this->fleet, limits, limitsEndAt))
         broken.push_back(sentence);
     for (const std::string& sentence : sentAgainstWords(this->fleet))
         broken.push_back(sentence);
     if (fellBack)
-        broken.push_back("an instance does not have a change seconds after all was well");
-    // Nobody can serve who has never read the store.
+        broken.push_back("an instance still lacks a configuration change seconds after all faults were healed");
+    // An instance that has never read the store cannot serve.
     const bool couldBegin = !strikesAtStart || !this->anyHitsStore();
     if (this->allConfined() && couldBegin)
         this->checkServed(broken);
--- a/Tests/FaultMatrix/Cell.h
+++ b/Tests/FaultMatrix/Cell.h
@@ -10,7 +10,7 @@
 
 namespace burlreach {
 
-/** The moment at which a fault is injected: the n-th time that the struck instance takes this step. */
+/** The moment at which faults are injected: the n-th time that the struck instance takes this step. */
 struct Step {
     std::string_view name;
     std::size_t occurrence = 1;
@@ -21,9 +21,8 @@
 std::span<const Step> allSteps();
 
 /**
- * One run of a small fleet under load, with one or two faults injected at a
- * step and set right later, and an operator's drain after that. Gives the
- * promises that were broken.
+ * One run of a small fleet under load: one or two faults are injected at a step, a data centre is emptied meanwhile,
+ * the faults are healed, and an operator drains a server. run() returns one sentence for each broken guarantee.
  */
 class Cell {
 public:
@@ -46,7 +45,7 @@
     VirtualFleet fleet;
     std::size_t seen = 0;
     bool injected = false;
-    Milliseconds lastsUntil = LongAgo; // a fault that ends by itself
+    Milliseconds lastsUntil = LongAgo; // end of the faults that end by themselves
     std::size_t turn = 0;
     StoreRevision drainRevision = 0;
     Milliseconds drainedAt = Never;
--- a/Tests/FaultMatrix/Fault.cpp
+++ b/Tests/FaultMatrix/Fault.cpp
@@ -149,13 +149,13 @@
 }
 
 constexpr Milliseconds Suspension{ 5000 };
-/** A request that crashes servers comes this often. */
+/** Interval between two requests that crash servers. */
 constexpr Milliseconds ComesEvery{ 110 };
 
-/** Like the other requests but for its body. */
+/** A request that crashes servers; it differs from the other requests only in its body. */
 VirtualRequest harmfulFor(std::size_t instance)
 {
-    // What an instance does not answer while it stands still is not its fault.
+    // Marks requests to the instance that may be suspended: a late answer there breaks no promise.
     return { .path = "/bookings",
         .body = "x",
         .timeLeft = { 700 },
@@ -179,10 +179,10 @@
 
 /** Longer than requests may wait, shorter than a fault lasts. */
 constexpr Milliseconds AskedPause{ 1200 };
-/** Requests a second; a third of what a server gets without it. */
+/** In requests per second; a third of what a server gets without a limit. */
 constexpr double NamedLimit = 4;
 
-/** Of the first servers. */
+/** The first servers report that they leave. */
 Fault leavingFault(std::string_view faultName, std::size_t servers, bool isConfined)
 {
     return { .name = faultName,
@@ -191,11 +191,11 @@
                 for (std::size_t index = 0; index < servers; ++index)
                     fleet.server("s" + std::to_string(index)).setLeaving(true);
             },
-        .heal = [](VirtualFleet&) {}, // it is never taken back
+        .heal = [](VirtualFleet&) {}, // a server never withdraws this notice
         .isConfined = isConfined };
 }
 
-/** They turn everything away meanwhile. */
+/** The first servers refuse all requests and ask for a pause. */
 Fault pauseFault(std::string_view faultName, std::size_t servers, bool isConfined)
 {
     Fault fault = serverFault(faultName, ServerFault::Refuses, servers, isConfined);
@@ -214,7 +214,7 @@
     return fault;
 }
 
-/** They name limits meanwhile, and work as before. */
+/** The first servers report a limit and otherwise work as before. */
 Fault limitFault(std::string_view faultName, std::size_t servers, bool isConfined)
 {
     const auto name = [servers](std::optional<double> limit) {
--- a/Tests/FaultMatrix/Fault.h
+++ b/Tests/FaultMatrix/Fault.h
@@ -8,23 +8,24 @@
 
 namespace burlreach {
 
-/** Something that goes wrong, and how it is set right again. */
+/** A fault: how it is injected and how it is healed. */
 struct Fault {
     std::string_view name;
     std::function<void(VirtualFleet&)> inject;
     std::function<void(VirtualFleet&)> heal;
-    bool hitsStore = false; // the store as a whole: bounds counted from its word do not hold meanwhile
-    Milliseconds lasts; // from the injection, when it ends by itself
-    bool isConfined = true; // the other instances and servers must go on serving meanwhile
+    bool hitsStore = false; // affects the whole store; bounds counted from its answers do not hold meanwhile
+    Milliseconds lasts; // time from the injection until the fault ends by itself; 0: until healed
+    bool isConfined = true; // the other instances and servers must keep serving during the fault
 };
 
-/** The instance on which steps are observed, and which faults of one instance strike. */
+/** The instance whose steps are observed, and the target of faults that affect a single instance. */
 inline constexpr std::size_t StruckInstance = 0;
 
+/** The first set of faults. */
 std::span<const Fault> allFaults();
-/** Apart from them, so that the cells of those above keep their seeds. */
+/** Faults kept apart from allFaults() so that the cells of allFaults() keep their seeds. */
 std::span<const Fault> laterFaults();
-/** Servers that say of themselves that they leave, or that they want nothing for a while; apart for the same reason. */
+/** Backend servers that report that they leave, ask for a pause, or report a limit; kept apart for the same reason. */
 std::span<const Fault> wordFaults();
 
 }
--- a/Tests/FaultMatrix/FaultMatrix.cc
+++ b/Tests/FaultMatrix/FaultMatrix.cc
@@ -1,5 +1,5 @@
 // Runs every fault at every step, and pairs of faults, in virtual time with
-// fixed seeds. One line a cell; the closing line counts.
+// fixed seeds. Prints one line for each cell and the totals at the end.
 
 #include "Tests/FaultMatrix/Cell.h"
 #include "Tests/Virtual/LimitPlay.h"
@@ -16,10 +16,10 @@
 
 using namespace burlreach;
 
-/** A cell to be run, and its result. */
+/** A cell or a limit scenario to be run, and its result. */
 struct Job {
     std::string name;
-    const LimitPlay* play = nullptr; // of a large fleet, in place of a cell
+    const LimitPlay* play = nullptr; // scenario of a large fleet to run in place of a cell
     Step step;
     std::vector<const Fault*> faults;
     std::uint64_t seed = 1;
@@ -40,7 +40,7 @@
     return jobs;
 }
 
-/** Every pair of faults, each at another step. */
+/** Every pair of faults, with the steps taken in turn. */
 std::vector<Job> pairJobs()
 {
     std::vector<Job> jobs;
@@ -88,7 +88,7 @@
     return jobs;
 }
 
-/** Servers' words at every step, each with every other fault, and with each other. */
+/** Every fault of wordFaults() at every step, with every other fault, and with each other. */
 std::vector<Job> wordJobs()
 {
     constexpr std::uint64_t firstSeed = 30000;
@@ -117,7 +117,7 @@
     return jobs;
 }
 
-/** Limits that servers name, in fleets of the sizes that are served and planned for. */
+/** Limits reported by servers, in fleets of the current and the planned size. */
 const std::vector<LimitPlay>& largeFleets()
 {
     static const std::vector<LimitPlay> plays{
@@ -146,7 +146,7 @@
     const std::size_t cells = jobs.size();
     for (const LimitPlay& play : largeFleets())
         jobs.push_back({ .name = play.name, .play = &play, .step = {}, .faults = {}, .broken = {} });
-    // The long ones first.
+    // Starts the longest runs first.
     std::rotate(jobs.begin(), jobs.begin() + static_cast<std::ptrdiff_t>(cells), jobs.end());
     std::erase_if(jobs, [&](const Job& job) { return job.name.find(only) == std::string::npos; });
     runInParallel(jobs.size(), [&](std::size_t index) {
--- a/Tests/FaultMatrix/Promises.cpp
+++ b/Tests/FaultMatrix/Promises.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** Timers and messages of the fakes take a moment. */
+/** Allowance for the latency of timers and messages in the simulation. */
 constexpr Milliseconds Grace{ 60 };
 
 }
@@ -31,20 +31,20 @@
 {
     const int runs = this->runsOf(caller.requestId);
     if (caller.runOnce && runs > 1)
-        this->sentences.push_back(caller.requestId + " may run once and ran " + std::to_string(runs) + " times");
+        this->sentences.push_back(caller.requestId + " may run only once but ran " + std::to_string(runs) + " times");
     if (caller.outcome == CallerOutcome::NotRun && runs)
-        this->sentences.push_back(caller.requestId + " was told \"not run\" and ran");
+        this->sentences.push_back(caller.requestId + " was refused as \"not run\" but ran");
     if (caller.outcome == CallerOutcome::Answered && caller.answerOf != caller.requestId)
-        this->sentences.push_back(caller.requestId + " got the answer of " + caller.answerOf);
+        this->sentences.push_back(caller.requestId + " received the answer to " + caller.answerOf);
     if (caller.outcome == CallerOutcome::Answered && !runs)
-        this->sentences.push_back(caller.requestId + " got an answer and did not run");
+        this->sentences.push_back(caller.requestId + " received an answer but did not run");
     const Milliseconds end = caller.outcome == CallerOutcome::Waiting ? this->fleet->now() : caller.endedAt;
     const bool isExcused = caller.outcome == CallerOutcome::Cut || caller.kind == "frozen";
     if (!isExcused && end > caller.deadline + Grace)
         this->sentences.push_back(caller.requestId + " had no final answer by its deadline");
     const bool isRefused = caller.outcome == CallerOutcome::NotRun || caller.outcome == CallerOutcome::Unknown;
     if (isRefused && caller.comeBackAfter.count <= 0)
-        this->sentences.push_back(caller.requestId + " was refused without a time to come back");
+        this->sentences.push_back(caller.requestId + " was refused without a time after which to retry");
 }
 
 void Promises::checkRequests()
@@ -79,7 +79,8 @@
     }));
     if (later > mostLater)
         this->sentences.push_back("a request that crashes servers was sent " + std::to_string(later)
-            + " times after all should have known; " + std::to_string(ends.size()) + " servers ended");
+            + " times after all instances should have known of it; " + std::to_string(ends.size())
+            + " servers crashed");
 }
 
 void Promises::checkUnused(const std::string& serverId, Milliseconds from, Milliseconds until)
@@ -100,7 +101,7 @@
         return attempt.at > from && attempt.backendServer.find("/" + serverId + "@") != std::string::npos;
     });
     if (!isUsed)
-        this->sentences.push_back("nothing was sent to " + serverId + " after its data centre was taken back");
+        this->sentences.push_back("nothing was sent to " + serverId + " after its data centre was put back into use");
 }
 
 void Promises::checkDrain(const std::string& serverId, Milliseconds acknowledged, Milliseconds bound)
--- a/Tests/FaultMatrix/Promises.h
+++ b/Tests/FaultMatrix/Promises.h
@@ -7,24 +7,25 @@
 
 namespace burlreach {
 
-/** Broken promises, a sentence each; none is what is wanted. */
+/** Checks the guarantees of the balancer after a run and collects one sentence for each violation. */
 class Promises {
 public:
     explicit Promises(const VirtualFleet& fleet);
 
-    /** What callers and backend servers saw from the beginning until now. */
+    /** Compares what callers received with what backend servers ran, from the beginning until now. */
     void checkRequests();
-    /** Nobody who knew of the drain sent anything there after the bound. */
+    /** No instance sent the drained server a request later than the bound after the drain was acknowledged. */
     void checkDrain(const std::string& serverId, Milliseconds acknowledged, Milliseconds bound);
 
     /**
-     * A request that ends servers was sent to few of them by instances that were spared, later than all should know of
-     * it; the bound counts from the third end or from this time. No other request was taken for it.
+     * A request that crashes servers was sent to at most a few servers, by instances other than the struck one, after
+     * all of them should have known of it: some time after the third crash or after notBefore, whichever is later. No
+     * other request was refused as one that crashes servers.
      */
     void checkCrashes(Milliseconds notBefore, std::size_t struckInstance);
-    /** Nothing was sent to this server between these times. */
+    /** No request was sent to this server between these times. */
     void checkUnused(const std::string& serverId, Milliseconds from, Milliseconds until);
-    /** Something was sent there after this time. */
+    /** At least one request was sent to this server after this time. */
     void checkUsed(const std::string& serverId, Milliseconds from);
 
     const std::vector<std::string>& broken() const { return this->sentences; }
--- a/Tests/RunAllTests.cc
+++ b/Tests/RunAllTests.cc
@@ -14,7 +14,7 @@
 
 namespace {
 
-/** The libraries build descriptors and type resolvers on their first use. */
+/** Makes protobuf build the descriptors and type resolvers that it creates on first use of a message type. */
 template <typename Message>
 void useOnce()
 {
@@ -25,7 +25,7 @@
     (void)message.DebugString();
 }
 
-/** Statics of the libraries are made before the leak check begins. */
+/** Initialises the static data of the libraries before leak detection begins. */
 void prepareLibraries()
 {
     GOOGLE_PROTOBUF_VERIFY_VERSION;
@@ -42,12 +42,12 @@
     burlreach::v1::ChangeRequest change;
     const char* call = R"({"change_id": "a", "set_limits": {"service": "b", "limits": {"retry_percent": 10}}, "x": 1})";
     (void)google::protobuf::util::JsonStringToMessage(call, &change);
-    // Every kind of error is met once as well.
+    // Truncated input makes every kind of parse error occur once as well.
     for (std::string cut = call; !cut.empty(); cut.pop_back())
         (void)google::protobuf::util::JsonStringToMessage(cut, &change);
 }
 
-/** So does httplib, when it reads its first request and answer. */
+/** Makes httplib create its static data, which it does when it reads its first request and answer. */
 void useHttpOnce()
 {
     httplib::Server server;
@@ -65,8 +65,8 @@
 
 int main(int argc, char** argv)
 {
-    // Some tests, and what comes next here, have servers on threads of their own; the usual overloads lose count of
-    // what two threads allocate at once, or crash.
+    // Some tests, and useHttpOnce(), run servers on their own threads. The default overloads miscount concurrent
+    // allocations of two threads, or crash.
     MemoryLeakWarningPlugin::turnOnThreadSafeNewDeleteOverloads();
     prepareLibraries();
     useHttpOnce();
--- a/Tests/Virtual/LimitsKept.h
+++ b/Tests/Virtual/LimitsKept.h
@@ -15,7 +15,7 @@
     double factor = 1.5; // multiple of the limit that is allowed
     double more = 5; // requests allowed in a window on top of that
     Milliseconds settling{ 3000 }; // after the first report of the limit; only windows that end later are checked
-    Milliseconds onItsWay{ 500 }; // an instance must keep to a limit only this long after it received the report
+    Milliseconds onItsWay{ 500 }; // grace from when an instance receives the limit until it must keep to it
 };
 
 /** The highest number of requests in one window, from the times at which they were sent; only windows that end at or
--- a/Tests/Virtual/VirtualStore.cpp
+++ b/Tests/Virtual/VirtualStore.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Milliseconds SlowLatency{ 500 };
-/** The store's answers carry values encoded as text. */
+/** Bytes sent for each byte of a value, since the store's answers carry values encoded as text. */
 constexpr double BytesOfTextForOne = 1.34;
 
 }
