--- a/Tests/Soak/ChildProcess.cpp
+++ b/Tests/Soak/ChildProcess.cpp
@@ -16,11 +16,12 @@
 constexpr int CannotRun = 127;
 constexpr std::chrono::milliseconds FirstMoment{ 500 };
 
-/** In the child: the program itself, which ends when the soak does, however that ends. */
+/** Runs the program in the child process; the kernel kills it when the soak ends, for whatever reason. */
 [[noreturn]] void become(const std::vector<char*>& arguments, const char* log)
 {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
-    // A proxy's connection that a child also holds stays open, and silent for its peer, after the proxy closed it.
+    // A connection of a proxy that a child inherits would stay open, and silent for its peer, after the proxy closes
+    // it.
     constexpr unsigned first = STDERR_FILENO + 1;
     constexpr unsigned last = ~0U;
     close_range(first, last, CLOSE_RANGE_CLOEXEC);
--- a/Tests/Soak/ChildProcess.h
+++ b/Tests/Soak/ChildProcess.h
@@ -8,8 +8,8 @@
 namespace burlreach {
 
 /**
- * A program that the soak started, and only through this object signals. Its
- * output goes to a file that later lives of it append to.
+ * A program that the soak starts, and signals only through this object. Its output goes to a log file, to which every
+ * later run of the program appends.
  */
 class ChildProcess {
 public:
@@ -19,33 +19,33 @@
     };
 
     explicit ChildProcess(Options options);
-    /** Kills it if it still runs. */
+    /** Kills the program if it still runs. */
     ~ChildProcess();
     ChildProcess(const ChildProcess&) = delete;
     ChildProcess& operator=(const ChildProcess&) = delete;
 
     void start();
     /**
-     * Nothing happens when it does not run. In the first moment of a life the
-     * system's default ends the program before any of its code runs: SIGTERM
-     * may then do so, and SIGHUP waits for that moment to pass.
+     * Sends a signal; does nothing if the program does not run. Just after a start, before any code of the program has
+     * run, the default action of a signal would end it: SIGTERM is allowed to do so, SIGHUP is sent only once this
+     * moment has passed.
      */
     void signal(int number);
-    /** SIGKILL, also to a paused one, and waits for the end. */
+    /** Sends SIGKILL, also to a paused program, and waits for its end. */
     void kill();
-    /** Waits for the end. */
+    /** Waits until the program has ended. */
     void wait();
     bool isRunning();
-    /** True when it ended though nobody had asked for it, or with a failure. */
+    /** True if the program ended without having been asked to, or with a failure. */
     bool hasFailed();
-    /** The next end is asked for. */
+    /** Marks the next end of the program as requested, so that it does not count as a failure. */
     void expectEnd() { this->isEndExpected = true; }
 
 private:
     void noteEnd(int status);
 
     Options options;
-    pid_t pid = 0; // 0: it does not run
+    pid_t pid = 0; // 0: not running
     std::chrono::steady_clock::time_point startedAt;
     bool wasStoppedEarly = false;
     bool isEndExpected = false;
--- a/Tests/Soak/ChildProcessTest.cpp
+++ b/Tests/Soak/ChildProcessTest.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/** Far below the time that the child runs, far above that of a close. */
+/** In milliseconds: far shorter than the child runs, far longer than a close takes. */
 constexpr int Patience = 1000;
 
 }
@@ -20,7 +20,7 @@
 
 TEST(ChildProcess, HoldsNoSocketOfItsParentOpen)
 {
-    // A connection that the parent closes would stay open and silent for its peer.
+    // If the child inherited it, a connection that the parent closes would stay open and silent for its peer.
     std::array<int, 2> ends{};
     CHECK_EQUAL(0, pipe(ends.data()));
     ChildProcess child({ .command = { "/bin/sleep", "30" }, .logPath = "/dev/null" });
--- a/Tests/Soak/CrashingLoad.cpp
+++ b/Tests/Soak/CrashingLoad.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::chrono::milliseconds SendsEvery{ 120 };
 constexpr std::chrono::milliseconds Restart{ 1500 };
-constexpr std::int64_t Contact = 3000; // milliseconds in which all instances must hear of something
+constexpr std::int64_t Contact = 3000; // milliseconds within which all instances must receive a gossip update
 constexpr std::size_t EndsThatProve = 3;
 constexpr std::size_t MostSentLater = 3;
 constexpr const char* RefusedForIt = "crashes_backend_servers";
@@ -156,7 +156,7 @@
             ++arrivals[line.id];
     }
     if (crashes.size() < EndsThatProve)
-        return { "a request that crashes servers ended only " + std::to_string(crashes.size()) };
+        return { "a request that crashes servers crashed too few servers: " + std::to_string(crashes.size()) };
     const std::int64_t known = crashes[EndsThatProve - 1] + Contact;
     std::size_t later = 0;
     std::size_t refused = 0;
@@ -168,7 +168,8 @@
     std::vector<std::string> sentences;
     if (later > MostSentLater)
         sentences.push_back("a request that crashes servers was sent " + std::to_string(later)
-            + " times more after all should have known; " + std::to_string(crashes.size()) + " servers ended");
+            + " times more after all instances should have known of it; " + std::to_string(crashes.size())
+            + " servers crashed");
     if (!refused)
         sentences.emplace_back("a request that crashes servers was never refused for it");
     return sentences;
--- a/Tests/Soak/CrashingLoad.h
+++ b/Tests/Soak/CrashingLoad.h
@@ -15,9 +15,9 @@
 namespace burlreach {
 
 /**
- * A service of its own for the soak, whose servers listen at their own ports
- * without a proxy, and a request that ends each of them that runs it. It comes
- * again and again, to each instance by turns, for as long as this object lives.
+ * A separate service in the soak, whose backend servers are reached without a proxy, and a request that crashes each
+ * server that runs it. From startSending() to stopSending() the request is sent again and again, to the instances in
+ * turn.
  */
 class CrashingLoad {
 public:
@@ -26,7 +26,7 @@
         std::string folder;
         std::size_t servers = 4;
         std::uint16_t firstServerPort = 0;
-        std::vector<std::uint16_t> callersPorts; // of the instances themselves
+        std::vector<std::uint16_t> callersPorts; // ports at which the instances listen for callers, without the proxies
     };
 
     static constexpr const char* Service = "rosters";
@@ -40,11 +40,11 @@
     void startServers();
     void startSending();
     void stopSending();
-    /** Starts servers again some time after they ended. */
+    /** Restarts crashed servers after a delay. */
     void tend();
-    /** The instance has just gone on after a suspension, so it need not know yet what was told meanwhile. */
+    /** Notes that the instance has just resumed, so it need not know yet what the others sent during its suspension. */
     void suspensionEnded(std::size_t instance);
-    /** Broken promises, a sentence each; only after stopSending(). */
+    /** One sentence for each broken guarantee; call it only after stopSending(). */
     std::vector<std::string> broken() const;
     std::size_t ends() const;
 
@@ -53,15 +53,15 @@
 
     struct Server {
         std::unique_ptr<ChildProcess> process;
-        Clock::time_point endedAt{}; // zero: it runs
+        Clock::time_point endedAt{}; // zero: the process runs
     };
 
-    /** The request as it was sent once. */
+    /** One sending of the request. */
     struct Sent {
         std::string id;
         std::size_t instance = 0;
         std::int64_t at = 0; // Unix milliseconds
-        std::string reason; // of a refusal
+        std::string reason; // reason given if the request was refused
     };
 
     struct Resumed {
@@ -69,7 +69,7 @@
         std::int64_t at = 0;
     };
 
-    /** A line of a server's journal. */
+    /** One line of a server's journal. */
     struct Noted {
         std::string what; // "arrived" or "crashed"
         std::string id;
--- a/Tests/Soak/FaultSoak.cc
+++ b/Tests/Soak/FaultSoak.cc
@@ -1,7 +1,7 @@
-// The randomized fault soak: real processes on loopback, faults from outside by
-// signals, proxies and control ports of the stand-ins, promises checked from
-// what callers and backend servers saw. A line a seed; exits with 1 when a
-// promise was broken, and then keeps the folder with all logs.
+// The randomized fault soak: real processes on loopback, faults injected by
+// signals, proxies, and control ports of the stand-ins, and guarantees checked
+// from what callers and backend servers recorded. Prints one line for each
+// seed; exits with 1 if a guarantee was broken, and keeps the logs of that seed.
 
 #include "Tests/Soak/SoakChecker.h"
 #include "Tests/Soak/SoakFleet.h"
@@ -20,7 +20,7 @@
 
 constexpr double MillisecondsPerSecond = 1000;
 constexpr int CalmSeconds = 2;
-/** A planned stop under way may take 10 s of it. */
+/** A planned stop that is under way may take 10 s of this time. */
 constexpr Milliseconds SettlePatience{ 25000 };
 
 struct SoakOptions {
@@ -67,7 +67,7 @@
     }
 }
 
-/** Plays one seed; gives what was broken. */
+/** Runs the plan of one seed; returns one sentence for each broken guarantee. */
 std::vector<std::string> run(const SoakOptions& options, std::uint64_t seed, const std::string& folder)
 {
     SoakFleet fleet({ .build = options.build,
@@ -110,12 +110,12 @@
         checker.checkNeighbours(SoakChecker::read(fleet.pathOf("neighbours.json")));
         for (const std::string& sentence : fleet.crashes()->broken())
             checker.note(sentence);
-        std::cout << "seed " << seed << ": " << fleet.crashes()->ends() << " servers ended under a request\n";
+        std::cout << "seed " << seed << ": " << fleet.crashes()->ends() << " servers crashed on a request\n";
     }
     if (!hasSettled)
         checker.note("not every instance was ready with the latest accepted change after 25 s");
     for (const std::string& name : fleet.failures())
-        checker.note(name + " ended by itself or with a failure");
+        checker.note(name + " ended unexpectedly or with a failure");
     std::cout << "seed " << seed << ": " << steps.size() << " faults,";
     for (const auto& [outcome, count] : told.outcomes)
         std::cout << ' ' << count << ' ' << outcome << ',';
--- a/Tests/Soak/LoopbackProxy.cpp
+++ b/Tests/Soak/LoopbackProxy.cpp
@@ -10,7 +10,7 @@
 
 using asio::ip::tcp;
 
-/** One connection: two streams of bytes, each read and written in turn. */
+/** One connection, with a stream of bytes in each direction; each stream alternates between reading and writing. */
 class LoopbackProxy::Relay : public std::enable_shared_from_this<LoopbackProxy::Relay> {
 public:
     Relay(asio::io_context& context, LoopbackProxy& givenProxy, tcp::socket givenClient)
@@ -85,7 +85,7 @@
     {
         const ProxyFault fault = this->proxy->fault;
         if (fault == ProxyFault::Silent || fault == way.silencedBy) {
-            // Bytes that were swallowed are never made up for: the connection is lost.
+            // Discarded bytes are never resent, so the connection is reset when the fault ends.
             this->hasLost = true;
             return this->read(way);
         }
--- a/Tests/Soak/LoopbackProxy.h
+++ b/Tests/Soak/LoopbackProxy.h
@@ -14,25 +14,25 @@
 
 namespace burlreach {
 
-/** What a proxy does to the bytes that pass it. */
+/** The fault that a proxy applies to its connections. */
 enum class ProxyFault {
     None,
-    Delay, // each piece waits
-    SilentForward, // what the client sends is swallowed
-    SilentBack, // what the server sends is swallowed
-    Silent, // both
-    Refuse // connections are closed at once, also open ones
+    Delay, // each chunk is forwarded after Options::delay
+    SilentForward, // bytes from the client are discarded
+    SilentBack, // bytes from the server are discarded
+    Silent, // bytes in both directions are discarded
+    Refuse // open connections are reset, new ones closed at once
 };
 
 /**
- * Passes TCP connections on from one port of the loopback to another, with
- * faults. Runs on the thread of its context; faults may be set from any.
+ * Forwards TCP connections from one loopback port to another, with faults. Runs on the thread of its io_context;
+ * setFault() and reset() may be called from any thread.
  */
 class LoopbackProxy {
 public:
     struct Options {
         std::uint16_t port = 0;
-        std::vector<std::uint16_t> targets; // the first one that takes the connection
+        std::vector<std::uint16_t> targets; // tried in this order until one accepts the connection
         Milliseconds delay{ 60 };
     };
 
--- a/Tests/Soak/NewLives.cpp
+++ b/Tests/Soak/NewLives.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** After which an accepted change is in force wherever the store or the others are heard. */
+/** Time after which an accepted change is in force at every instance that reaches the store or its peers. */
 constexpr std::chrono::milliseconds InForceEverywhere{ 1000 };
 
 }
@@ -30,7 +30,7 @@
         this->acceptedAt.reset();
         const std::size_t server = this->waiting.front();
         this->waiting.pop_front();
-        // It may have begun anew once more meanwhile.
+        // The server may have begun another life meanwhile.
         if (std::find(this->waiting.begin(), this->waiting.end(), server) == this->waiting.end())
             this->options.known(server);
     }
--- a/Tests/Soak/NewLives.h
+++ b/Tests/Soak/NewLives.h
@@ -13,22 +13,21 @@
 namespace burlreach {
 
 /**
- * Names new lives of backend servers that had said that they leave, as
- * operators do after a restart: one after the other, each until a call of the
- * operators is accepted.
+ * Registers new lives of backend servers that had reported that they leave, as operators do after a restart. Lives are
+ * registered one after another; the operators' call for each is repeated until it is accepted.
  */
 class NewLives {
 public:
     struct Options {
-        /** Starts the call that names this life of a server; tries count the calls so far. */
+        /** Starts the call that registers this life of a server; tries is the number of calls so far. */
         std::function<std::unique_ptr<ChildProcess>(std::size_t server, std::uint64_t life, unsigned tries)> startCall;
-        /** The name of the server's latest life is in force at all instances. */
+        /** Called when the latest life of the server is in force at all instances. */
         std::function<void(std::size_t server)> known;
     };
 
     explicit NewLives(Options options);
 
-    /** A server that had said it leaves has begun anew. */
+    /** Notes that a server that had reported that it leaves has begun a new life. */
     void began(std::size_t server) { this->waiting.push_back(server); }
     void tend();
     bool areAllKnown() const { return this->waiting.empty(); }
@@ -37,9 +36,9 @@
     using Clock = std::chrono::steady_clock;
 
     Options options;
-    std::deque<std::size_t> waiting; // servers
-    std::unique_ptr<ChildProcess> call; // for the first of them
-    std::optional<Clock::time_point> acceptedAt; // of that call
+    std::deque<std::size_t> waiting; // servers whose new life is still to be registered, in order
+    std::unique_ptr<ChildProcess> call; // running call for the first waiting server
+    std::optional<Clock::time_point> acceptedAt; // time at which that call was accepted
     std::uint64_t lastLife = 0;
     unsigned tries = 0;
 };
--- a/Tests/Soak/SoakChecker.cpp
+++ b/Tests/Soak/SoakChecker.cpp
@@ -11,7 +11,7 @@
 constexpr const char* Foreign = "not its own or not whole";
 constexpr const char* Cut = "cut: ";
 constexpr std::string_view AgainstWord = "against ";
-/** For callers; instances pass it on and need not understand it. */
+/** A field for callers; instances forward it and need not read it. */
 constexpr std::string_view OwnField = "Backend-Server";
 
 }
@@ -64,41 +64,41 @@
     if (!told.outcomes.contains(Answered))
         this->note("no request was answered");
     if (told.outcomes.contains(Foreign))
-        this->note("an answer was another request's or not whole");
+        this->note("an answer belonged to another request or was incomplete");
     for (const auto& [id, count] : this->runs) {
         if (count > 1)
             this->note("ran twice: " + id);
     }
     for (const std::string& id : told.answeredBookings) {
         if (!this->runs.contains(id))
-            this->note("answered and in no journal: " + id);
+            this->note("answered but in no journal: " + id);
     }
     for (const std::string& id : told.notRunBookings) {
         if (this->runs.contains(id))
-            this->note("told not run and ran: " + id);
+            this->note("refused as not run but ran: " + id);
     }
 }
 
 void SoakChecker::checkWords()
 {
     for (const auto& [word, count] : this->againstWords)
-        this->note(std::to_string(count) + " requests came against a server's word: " + word);
+        this->note(std::to_string(count) + " requests were sent against a server's notice: " + word);
 }
 
 void SoakChecker::checkNothingUnread()
 {
     for (const std::string& field : this->unreadFields) {
         if (field != OwnField)
-            this->note("nothing reads the field \"" + field + "\" of answers");
+            this->note("instances do not read the field \"" + field + "\" of answers");
     }
 }
 
 void SoakChecker::checkNeighbours(const CallersResult& told)
 {
     if (!told.outcomes.contains(Answered))
-        this->note("beside a request that crashes servers nobody was answered");
+        this->note("no other request was answered at the servers that a request crashes");
     if (told.reasons.contains("crashes_backend_servers"))
-        this->note("requests beside one that crashes servers were refused as such");
+        this->note("other requests were refused as ones that crash servers");
 }
 
 void SoakChecker::checkNothingCut(const CallersResult& told)
--- a/Tests/Soak/SoakChecker.h
+++ b/Tests/Soak/SoakChecker.h
@@ -9,32 +9,33 @@
 
 namespace burlreach {
 
-/** What callers were told, as their stand-in wrote it. */
+/** The answers that callers received, as CallerStandIn reported them. */
 struct CallersResult {
     std::map<std::string, int> outcomes;
-    std::map<std::string, int> reasons; // of refusals
+    std::map<std::string, int> reasons; // number of refusals, by reason
     std::vector<std::string> answeredBookings;
     std::vector<std::string> notRunBookings;
     std::vector<std::string> cuts; // where and when each request without an answer ended
 };
 
-/** Compares what callers were told with what the backend servers' journals hold. */
+/** Compares the answers that callers received with the journals of the backend servers. */
 class SoakChecker {
 public:
     explicit SoakChecker(const SoakFleet& fleet);
 
     static CallersResult read(const std::string& path);
-    /** The promises that hold whatever fails. */
+    /** Checks the guarantees that hold under every fault. */
     void check(const CallersResult& told);
-    /** Nobody may be cut, as far as only planned work went on. */
+    /** Checks that no request was cut; for runs with planned work only. */
     void checkNothingCut(const CallersResult& told);
-    /** Everything was answered: no fault is left. */
+    /** Checks that every request was answered; for callers that start after all faults have ended. */
     void checkAllAnswered(const CallersResult& told);
-    /** Callers of servers that another one's request crashed: they are not taken for the cause, and some are served. */
+    /** Checks other callers of the servers that crash: none is refused as the cause of the crashes, and some are
+     * served. */
     void checkNeighbours(const CallersResult& told);
-    /** Servers that said they leave or asked for a pause were left alone by whoever they told. */
+    /** Checks that instances followed the notices that servers sent to them: leaving, pauses and limits. */
     void checkWords();
-    /** Instances understood all that servers said in their answers. */
+    /** Checks that the instances read every field that servers sent in their answers. */
     void checkNothingUnread();
     void note(const std::string& broken) { this->broken.push_back(broken); }
     const std::vector<std::string>& findings() const { return this->broken; }
@@ -42,9 +43,9 @@
 private:
     void readLog(const std::string& path);
 
-    std::map<std::string, int> runs; // by request id
-    std::map<std::string, int> againstWords; // requests that came against a server's word, by word
-    std::set<std::string> unreadFields; // of answers, as instances named them in their logs
+    std::map<std::string, int> runs; // number of runs, by request id
+    std::map<std::string, int> againstWords; // number of requests sent against a server's notice, by kind of notice
+    std::set<std::string> unreadFields; // answer fields that instances logged as unread
     std::vector<std::string> broken;
 };
 
--- a/Tests/Soak/SoakFleet.cpp
+++ b/Tests/Soak/SoakFleet.cpp
@@ -37,7 +37,7 @@
     return true;
 }
 
-/** The largest number behind a text in a file. */
+/** The largest number that follows this text in a file. */
 std::uint64_t largestBehind(const std::string& path, const std::string& text)
 {
     std::ifstream file(path);
@@ -133,7 +133,7 @@
         command.insert(command.begin(), { "/usr/bin/env", "SUSPENDED_CLOCK=" + this->clockPath(index) });
     }
     instance.process = this->program(name, std::move(command));
-    // Connections to an instance that is away go to the next one.
+    // Connections to an instance that does not listen go to the next one.
     std::vector<std::uint16_t> targets;
     for (std::size_t step = 0; step < this->instances.size(); ++step)
         targets.push_back(this->port(Part::Callers, (index + step) % this->instances.size()));
@@ -437,7 +437,7 @@
     case SoakFault::SilenceServerBack:
     case SoakFault::DelayServer:
         return server.proxy->setFault(ProxyFault::None);
-    case SoakFault::StopInstance: // see tend()
+    case SoakFault::StopInstance: // tend() restarts the instance
     case SoakFault::ReloadInstance:
     case SoakFault::ResetCallers:
     case SoakFault::StoreForgets:
--- a/Tests/Soak/SoakFleet.h
+++ b/Tests/Soak/SoakFleet.h
@@ -17,18 +17,18 @@
 namespace burlreach {
 
 /**
- * Real processes on loopback: the store, backend servers, instances of
- * burlreach and callers, with a proxy on each way between them.
+ * Real processes on loopback: the store, backend servers, instances of burlreach, and callers, with proxies between
+ * callers and instances, instances and store, and instances and backend servers.
  */
 class SoakFleet {
 public:
     struct Options {
-        std::string build; // the build folder
-        std::string folder; // for settings, logs, journals and results
+        std::string build; // build folder, with the programs
+        std::string folder; // folder for settings, logs, journals, and results
         std::size_t instances = 3;
         std::size_t servers = 4;
         std::uint16_t firstPort = 21000;
-        bool hasCrashingRequest = false; // and instances that can be suspended
+        bool hasCrashingRequest = false; // runs a CrashingLoad, with instances that can be suspended
     };
 
     explicit SoakFleet(const Options& options);
@@ -36,28 +36,29 @@
     SoakFleet(const SoakFleet&) = delete;
     SoakFleet& operator=(const SoakFleet&) = delete;
 
-    /** Starts everything and configures the service; false when that does not come about. */
+    /** Starts all processes and configures the service; returns false if that fails. */
     bool start();
     void begin(const SoakStep& step);
     void end(const SoakStep& step);
-    /** Ends all faults and starts what does not run. */
+    /** Ends all faults and starts every process that does not run. */
     void heal();
-    /** Starts instances again that have come to the end of a planned stop. */
+    /** Restarts instances that have completed a planned stop, and calls tend() of the crashing load and the new lives.
+     */
     void tend();
-    /** Waits until every instance is ready and has the latest change. */
+    /** Waits until every instance is ready with the latest accepted change; returns false after this time. */
     bool settles(Milliseconds patience);
 
-    /** Callers with the load of a run; their result goes to NAME.json. */
+    /** Starts callers with the load of a run; their result goes to NAME.json. */
     std::unique_ptr<ChildProcess> startCallers(const std::string& name, int seconds, std::uint64_t seed) const;
-    /** Callers of the service whose servers crash; their result goes to neighbours.json. */
+    /** Starts callers of the service whose servers crash; their result goes to neighbours.json. */
     std::unique_ptr<ChildProcess> startNeighbours(int seconds) const;
-    /** Null without a request that crashes servers. */
+    /** The crashing load, or null if the run has none. */
     CrashingLoad* crashes() { return this->crashingLoad.get(); }
     std::string journalPath(std::size_t server) const;
     std::string pathOf(const std::string& name) const { return this->options.folder + "/" + name; }
     std::size_t servers() const { return this->options.servers; }
     std::size_t instanceCount() const { return this->options.instances; }
-    /** Names of programs that ended by themselves. */
+    /** Names of programs that ended unexpectedly or with a failure. */
     std::vector<std::string> failures();
 
 private:
@@ -66,7 +67,7 @@
         std::unique_ptr<LoopbackProxy> callers;
         std::unique_ptr<LoopbackProxy> store;
         bool isStopping = false;
-        int suspendedMilliseconds = 0; // in all
+        int suspendedMilliseconds = 0; // sum of all suspensions so far
     };
 
     struct Server {
@@ -74,7 +75,7 @@
         std::unique_ptr<LoopbackProxy> proxy;
     };
 
-    /** What stands at a port, by its place in the plan of ports. */
+    /** The use of a port, as an offset from the first port. */
     enum class Part : std::uint16_t {
         Store = 0,
         StoreProxy = 10,
@@ -90,7 +91,7 @@
     std::uint16_t port(Part part, std::size_t index = 0) const;
     std::unique_ptr<ChildProcess> program(const std::string& name, std::vector<std::string> command) const;
     void addInstance(std::size_t index);
-    /** Unless it is the last one that callers can go to. */
+    /** Starts a planned stop, unless this is the last running instance. */
     void stopInstance(std::size_t index);
     void addServer(std::size_t index);
     void writeSettings(std::size_t index) const;
@@ -106,7 +107,7 @@
     bool isReady(std::size_t instance) const;
     std::uint64_t latestAccepted() const;
     std::uint64_t revisionOf(std::size_t instance) const;
-    /** Tells a stand-in something at its control address. */
+    /** Sends a command to the control address of a stand-in. */
     static void tellStandIn(std::uint16_t port, const std::string& what);
     static void setFault(std::uint16_t port, const std::string& name);
 
@@ -117,7 +118,7 @@
     std::unique_ptr<ChildProcess> store;
     std::vector<Instance> instances;
     std::vector<Server> backendServers;
-    std::unique_ptr<ChildProcess> change; // under way
+    std::unique_ptr<ChildProcess> change; // the running configuration change
     NewLives newLives;
     std::unique_ptr<CrashingLoad> crashingLoad;
 };
--- a/Tests/Soak/SoakPlan.cpp
+++ b/Tests/Soak/SoakPlan.cpp
@@ -15,14 +15,14 @@
     "store-loses-answers", "store-forgets", "kill-server", "pause-server", "server-sheds", "server-cuts-answers",
     "silence-server", "silence-server-back", "delay-server", "reset-server", "change-configuration", "leaving-server",
     "suspend-instance", "server-asks-pause", "server-names-limit" };
-/** Drawn by all seeds below the first one with crashes, whose plans stay as they are. */
+/** Number of faults from which seeds below FirstSeedWithCrashes draw; their plans must stay reproducible. */
 constexpr auto UsualCount = static_cast<std::size_t>(SoakFault::SuspendInstance);
 constexpr std::uint64_t FirstSeedWithCrashes = 1000;
 constexpr std::uint64_t FirstSeedWithWords = 2000;
 constexpr std::uint64_t FirstSeedWithLimits = 3000;
-/** Of the faults, so many are limits. */
+/** Share of the faults that are reported limits. */
 constexpr double LimitShare = 0.5;
-/** Whoever begins anew or stands still may have heard nothing. */
+/** Excludes faults that restart or pause instances, since such an instance may not have received a notice. */
 constexpr std::array<SoakFault, 14> BesideWords{ SoakFault::LeavingServer, SoakFault::LeavingServer,
     SoakFault::ServerAsksPause, SoakFault::ServerAsksPause, SoakFault::ServerAsksPause, SoakFault::CutStore,
     SoakFault::StoreDown, SoakFault::StoreLosesAnswers, SoakFault::StoreForgets, SoakFault::ServerCutsAnswers,
@@ -38,7 +38,7 @@
 constexpr Milliseconds LongestGap{ 900 };
 constexpr Milliseconds ShortestFault{ 200 };
 constexpr Milliseconds LongestFault{ 2500 };
-/** Of the steps, those that follow a like one at once. */
+/** Share of the steps that repeat the previous fault after SeriesGap. */
 constexpr double SeriesShare = 0.25;
 constexpr Milliseconds SeriesGap{ 40 };
 
--- a/Tests/Soak/SoakPlan.h
+++ b/Tests/Soak/SoakPlan.h
@@ -9,14 +9,14 @@
 
 namespace burlreach {
 
-/** A fault that the soak brings about from outside, or planned work. */
+/** A fault that the soak injects from outside the processes, or planned work. */
 enum class SoakFault {
     KillInstance,
-    StopInstance, // SIGTERM, and a new start when it is gone
+    StopInstance, // SIGTERM, and a restart once the process has ended
     PauseInstance,
     ReloadInstance,
-    ResetCallers, // the connections of one instance
-    CutStore, // one instance, silently
+    ResetCallers, // resets the callers' connections to one instance
+    CutStore, // discards all bytes between one instance and the store
     CutStoreOneWay,
     RefuseStore,
     StoreDown,
@@ -28,23 +28,23 @@
     ServerSheds,
     ServerCutsAnswers,
     SilenceServer,
-    SilenceServerBack, // it runs requests and its answers are lost
+    SilenceServerBack, // the server runs requests, but its answers are lost
     DelayServer,
     ResetServer,
     ChangeConfiguration,
-    LeavingServer, // it says so in its answers
-    SuspendInstance, // its clock has gone on meanwhile, its timers have not
-    ServerAsksPause, // it turns requests away and says for how long it wants none
-    ServerNamesLimit, // it takes so many requests a second from all instances together
+    LeavingServer, // the server reports in its answers that it leaves
+    SuspendInstance, // on resumption its clock has advanced, its timers have not
+    ServerAsksPause, // the server refuses requests and asks for a pause
+    ServerNamesLimit, // the server reports a limit in requests per second from all instances together
     Count
 };
 
 std::string_view nameOf(SoakFault fault);
 
-/** A fault at a time of the run. */
+/** A fault, its target, and its time within the run. */
 struct SoakStep {
     SoakFault fault = SoakFault::KillInstance;
-    std::size_t target = 0; // an instance or a backend server
+    std::size_t target = 0; // index of an instance or backend server, modulo their number
     Milliseconds at;
     Milliseconds lasts;
 };
@@ -56,19 +56,19 @@
     Milliseconds length{ 10000 };
 };
 
-/** True for a run without unplanned faults: nothing may be cut in it. */
+/** True for a run with planned work only, in which no request may be cut. */
 bool isPlannedOnly(std::uint64_t seed);
 
-/** True for a run with a request that crashes servers, and with troubles that leave the others in touch. */
+/** True for a run with a request that crashes servers, and only faults that leave the other instances connected. */
 bool hasCrashingRequest(std::uint64_t seed);
 
-/** True for a run with servers that speak of themselves, in which no instance is stopped, killed or stands still. */
+/** True for a run in which servers send notices, and no instance is stopped, killed, or paused. */
 bool hasServerWords(std::uint64_t seed);
 
-/** True for a run whose servers name limits besides. */
+/** True for a run in which servers also report limits. */
 bool hasNamedLimits(std::uint64_t seed);
 
-/** The steps of a seed in the order of their times; they overlap and come in series. */
+/** The steps of a seed, in order of time; steps may overlap, and the same fault may repeat in quick succession. */
 std::vector<SoakStep> planOf(const SoakPlanOptions& options);
 
 }
--- a/Tests/Soak/SuspendedClock.cpp
+++ b/Tests/Soak/SuspendedClock.cpp
@@ -1,8 +1,8 @@
-// Linked into the program that the soak runs, in place of the system's function:
-// puts the clock that also counts while the machine is suspended forward by the
-// milliseconds that stand in a file. Paused
-// for a moment and put forward by seconds, a process sees just what a suspended
-// machine shows it: its other clock and the system's timers have stood still.
+// Replaces the system's clock_gettime() in the program that the soak runs. It
+// advances CLOCK_BOOTTIME, which also counts while the system is suspended, by
+// the milliseconds in a file. A process that is paused for a moment and whose
+// clock is then advanced by seconds observes what it would after a suspension of
+// the system: its other clock and the system's timers have stood still.
 
 #include <array>
 #include <cstdlib>
