--- a/Tests/Processes.sh
+++ b/Tests/Processes.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Real processes on loopback under failure: killed, frozen, cut, a store that
-# loses its answer or is down. Every wait is for a condition. Closes with
-# "N passed, N failed".
+# Tests real processes on loopback under failures: killed, frozen, or cut off
+# processes, and a store that loses answers or is down. Every wait is for a
+# condition. Ends with the line "N passed, N failed".
 set -uo pipefail
 here=$(cd "$(dirname "$0")" && pwd)
 build=${1:?the build folder}
@@ -28,13 +28,13 @@
 fault() { put "http://127.0.0.1:$store_port/control/fault/$1"; }
 backend_fault() { put "http://127.0.0.1:$((18200 + $1))/control/fault/$2"; }
 
-load() { # NAME OPTIONS...: callers, their result in NAME.json
+load() { # NAME OPTIONS...: runs callers and writes their result to NAME.json
     local name=$1
     shift
     "$stand_ins/CallerStandIn" --port 18001 --port 18002 --port 18003 --prefix "$name" "$@" > "$fleet_dir/$name.json"
 }
 
-# What callers were told against the journals of all backend servers.
+# Compares the answers that callers received with the journals of all backend servers.
 agrees() { # NAME...
     for number in 1 2 3 4; do get "http://127.0.0.1:$((18200 + number))/control/journal" > "$fleet_dir/journal-$number.json"; done
     python3 - "$fleet_dir" "$@" << 'PYTHON'
@@ -60,7 +60,7 @@
 revision_on() { ctl_port=$((18100 + $1)) ctl list-services | sed -n 's/^revision: //p'; }
 all_at() { for number in 1 2 3; do [ "$(revision_on "$number")" = "$1" ] || return 1; done; }
 request_status() { curl -s -o "$fleet_dir/answer" -D "$fleet_dir/headers" --max-time 15 -w '%{http_code}' -H 'Host: bookings.example' "$@"; }
-bookings_work() { # each of the balancers
+bookings_work() { # INSTANCE...: a booking succeeds at each of these instances
     for number in "$@"; do
         [ "$(request_status -X POST -d x "http://127.0.0.1:$((18000 + number))/bookings")" = 200 ] || return 1
     done
@@ -154,7 +154,7 @@
 sleep 1
 kill -TERM "${pid_entry_3:?}"
 sleep 0.2
-kill -TERM "${pid_entry_3:?}" # a second one changes nothing
+kill -TERM "${pid_entry_3:?}" # a second SIGTERM must change nothing
 until_true 15 bash -c "! kill -0 ${pid_entry_3:?} 2> /dev/null"
 wait "$loader"
 check "planned stop under load cuts and refuses nothing" only_answered stop
--- a/Tests/StandIns/BackendServerStandIn.cc
+++ b/Tests/StandIns/BackendServerStandIn.cc
@@ -1,5 +1,5 @@
-// Stand-in for a backend server: three slots, a short queue, shedding, load
-// reports, a run journal, and a control port for faults.
+// Stand-in for a backend server: slots, a queue, shedding, load reports, a
+// journal of runs, and control paths for faults.
 
 #include "Tests/StandIns/SpokenWords.h"
 
@@ -22,9 +22,9 @@
 constexpr std::size_t ThreadCount = 300;
 constexpr std::size_t EndlessKeepAlive = 1000000000;
 constexpr const char* RequestIdHeader = "Burlreach-Request-Id";
-/** Asked for where the fault says so: longer than what is on its way, and a request does not wait for it. */
+/** The pause for which the fault "ask-pause" asks: longer than requests are in transit, and too long to wait for. */
 constexpr double PauseSeconds = 1.5;
-constexpr double NamedLimit = 2; // requests a second
+constexpr double NamedLimit = 2; // requests per second
 
 struct Options {
     std::string name;
@@ -32,7 +32,7 @@
     int slots = 3;
     int queue = 100;
     double serviceMilliseconds = 2;
-    std::string journalPath; // empty: the journal is in memory only
+    std::string journalPath; // empty: keeps the journal in memory only
 };
 
 class BackendServerStandIn {
@@ -136,7 +136,7 @@
         if (request.method != "GET" && !requestId.empty()) {
             const std::lock_guard lock(this->mutex);
             ++this->journal[requestId];
-            // A later life of this server may not forget what ran.
+            // On disk, so that a later life of this server still knows what ran.
             if (this->journalFile.is_open())
                 this->journalFile << requestId << '\n' << std::flush;
         }
@@ -162,14 +162,14 @@
             = "{\"echo\":\"" + echo + "\",\"body_bytes\":" + std::to_string(request.body.size()) + "}\n";
         if (!this->isFault("cut"))
             return response.set_content(body, "application/json");
-        // The body ends in the middle.
+        // Ends the answer in the middle of the body.
         response.set_content_provider(
             body.size(), "application/json", [body](std::size_t offset, std::size_t, httplib::DataSink& sink) {
                 return offset == 0 && sink.write(body.data(), body.size() / 2);
             });
     }
 
-    /** With the time, which later lives and other servers share. */
+    /** Appends a line with the system time, by which lines of later lives and other servers can be compared. */
     void note(const char* what, const std::string& requestId)
     {
         const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
--- a/Tests/StandIns/CallerStandIn.cc
+++ b/Tests/StandIns/CallerStandIn.cc
@@ -1,6 +1,6 @@
 // Stand-in for callers: sessions that send searches and bookings, check that
-// each answer is whole and their own, and print what became of them as JSON.
-// Some sessions send several searches ahead of the answers.
+// each answer is complete and belongs to its request, and print the outcomes as
+// JSON. Some sessions pipeline several searches.
 
 #include "Tests/StandIns/PipelinedConnection.h"
 
@@ -29,12 +29,12 @@
     std::string host = "bookings.example";
     std::string prefix = "caller";
     int sessions = 4;
-    int pipelinedSessions = 0; // besides, with searches only
+    int pipelinedSessions = 0; // additional sessions that pipeline searches
     int requests = 100;
     int bookingPercent = 20;
     double pauseMilliseconds = 0;
     int seconds = 0;
-    std::string output; // a file; empty: standard output
+    std::string output; // path of a file; empty: standard output
 };
 
 struct Tally {
@@ -44,15 +44,15 @@
     std::vector<double> milliseconds;
     std::vector<std::string> answeredBookings;
     std::vector<std::string> notRunBookings;
-    std::vector<std::string> cuts; // what is known of each request that got no answer
+    std::vector<std::string> cuts; // a description of each request that got no answer
     int reconnects = 0;
 };
 
-/** A session's connection and what went over it. */
+/** A session's connection and the answers received over it. */
 struct Session {
     std::unique_ptr<httplib::Client> client;
-    std::size_t turn = 0; // of the ports
-    int answers = 0; // over this connection
+    std::size_t turn = 0; // index into the ports, modulo their number
+    int answers = 0; // answers received over this connection
     Clock::time_point lastAnswer;
 };
 
@@ -107,7 +107,7 @@
             }
             const auto answers = connection.search(unanswered);
             this->noteSearches(unanswered, answers);
-            // What is sent behind an answer that closes the connection was not read.
+            // Requests after an answer that closes the connection were not read, so they are sent again.
             const bool wasClosed = !answers.empty() && answers.back().closes;
             const auto done = wasClosed ? static_cast<std::ptrdiff_t>(answers.size()) : SentAhead;
             unanswered.erase(unanswered.begin(), unanswered.begin() + done);
@@ -172,7 +172,7 @@
         auto start = Clock::now();
         const bool wasOpen = session.client->is_socket_open();
         auto result = this->send(session, id, isBooking);
-        // Connecting to a balancer that has gone is no failure of a request.
+        // A failed connection to an instance that has ended is not a failure of the request; another port is tried.
         for (std::size_t tries = 0;
              !result && result.error() == httplib::Error::Connection && tries < this->options.ports.size(); ++tries) {
             session.client = this->connect(++session.turn);
--- a/Tests/StandIns/PipelinedConnection.cpp
+++ b/Tests/StandIns/PipelinedConnection.cpp
@@ -13,7 +13,7 @@
 
 namespace http = boost::beast::http;
 
-/** In milliseconds; the other callers give up after the same time. */
+/** In milliseconds; the same as the read timeout of the other callers. */
 constexpr int LongestSilence = 30000;
 
 }
--- a/Tests/StandIns/PipelinedConnection.h
+++ b/Tests/StandIns/PipelinedConnection.h
@@ -8,26 +8,26 @@
 
 namespace burlreach {
 
-/** An answer as a caller sees it. */
+/** An answer as its caller receives it. */
 struct PipelinedAnswer {
     int status = 0;
-    std::string outcome; // as the balancer says; empty: it says nothing
+    std::string outcome; // value of Burlreach-Outcome; empty: field absent
     std::string body;
-    bool closes = false; // the last one of its connection
+    bool closes = false; // the connection closes after this answer
 };
 
-/** A caller's connection on which searches are sent ahead of the answers. */
+/** A caller's connection on which searches are pipelined: sent before earlier answers have arrived. */
 class PipelinedConnection {
 public:
     explicit PipelinedConnection(std::string host);
 
-    /** False when nobody listens there. */
+    /** Returns false if the connection can't be made. */
     bool connect(int port);
     bool isOpen() const { return this->socket.is_open(); }
     void close();
     /**
-     * Sends a search for each id at once and reads the answers in their order:
-     * as many as come before the connection ends or an answer closes it.
+     * Sends one search for each id without waiting and returns the answers in the same order, up to the first one that
+     * closes the connection or is lost with it.
      */
     std::vector<PipelinedAnswer> search(const std::vector<std::string>& ids);
 
@@ -37,7 +37,7 @@
     std::string host;
     asio::io_context context;
     asio::ip::tcp::socket socket;
-    std::string input; // read, not yet parsed
+    std::string input; // bytes read but not yet parsed
 };
 
 }
--- a/Tests/StandIns/SpokenWords.cpp
+++ b/Tests/StandIns/SpokenWords.cpp
@@ -4,11 +4,12 @@
 
 namespace {
 
-/** What was sent before the word was heard has come by then, also through a proxy that delays. */
+/** Requests that were sent before the notice was received arrive within this time, even through a delaying proxy. */
 constexpr std::chrono::milliseconds OnItsWay{ 500 };
-/** More of them than this go against a pause. */
+/** Requests during a pause that are not yet a violation. */
 constexpr int MostDuringPause = 2;
-/** What a limit allows in each span of this length, counted from some time after it was named first. */
+/** Sliding window in which arrivals are compared with the limit, once LimitSettling has passed since its first report.
+ */
 constexpr std::chrono::seconds LimitWindow{ 4 };
 constexpr std::chrono::milliseconds LimitSettling{ 1000 };
 constexpr double LimitFactor = 1.5;
@@ -29,7 +30,7 @@
     const auto now = Clock::now();
     const auto until = now + std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(seconds));
     const auto found = this->pauses.find(instance);
-    // A later one on top of the first would excuse what came against that.
+    // A pause that is still running is not replaced, since the later start would excuse requests against the first.
     const bool isNoted = !instance.empty() && !this->isBetweenLives;
     if (isNoted && (found == this->pauses.end() || found->second.until < now))
         this->pauses[instance] = { .from = now + OnItsWay, .until = until };
--- a/Tests/StandIns/StoreStandIn.cc
+++ b/Tests/StandIns/StoreStandIn.cc
@@ -1,5 +1,5 @@
 // Stand-in for the store in burlreach's own form (POST /store/v1/read_range,
-// watch and write), with a fault port. Everything under /control/ is for tests.
+// watch, and write), with faults. Paths below /control/ are for tests.
 
 #include <CLI/CLI.hpp>
 #include <atomic>
@@ -27,7 +27,7 @@
 constexpr std::size_t PageSize = 100;
 constexpr auto SlowAnswer = std::chrono::milliseconds(700);
 
-/** An item as it was written, or its removal. */
+/** An item as written, with its revision. */
 struct Change {
     std::string key;
     std::string value;
@@ -69,7 +69,7 @@
                 return;
             const json body = json::parse(request.body, nullptr, false);
             (this->*handler)(body, response);
-            // The answer is lost after the change took effect.
+            // The answer is lost only after the change took effect.
             if (this->isFault("lose-answers"))
                 response.status = StatusFailed;
         });
@@ -81,7 +81,7 @@
         return this->fault == name;
     }
 
-    /** False when the call fails because of a fault that is set. */
+    /** Returns false if the call fails because of the current fault. */
     bool admit(httplib::Response& response)
     {
         if (this->isFault("slow"))
