--- a/Source/Node/Actions.h
+++ b/Source/Node/Actions.h
@@ -30,7 +30,7 @@
     RequestNumber request = 0;
     AttemptNumber attempt = 0;
     std::string backendServer; // id of the server that must run it; any other server at the address refuses
-    std::uint64_t life = 0; // of the server, from its store record
+    std::uint64_t life = 0; // of the server, from its store record; higher after each restart
     NetworkAddress address;
     Milliseconds timeLeft; // until the final answer is due
     bool mayRepeat = false; // the request may run more than once
@@ -108,13 +108,13 @@
     ChangeSource source = ChangeSource::Store;
 };
 
-/** Answer an operator's ChangeAsked. */
+/** Answer an operator's request for a configuration change. */
 struct AnswerChange {
     OperatorCallNumber call = 0;
     v1::ChangeAnswer answer;
 };
 
-/** Answer an operator's InForceAsked. */
+/** Answer an operator's question which store revision is in force on each instance. */
 struct AnswerInForce {
     OperatorCallNumber call = 0;
     v1::ShowInForceAnswer answer;
--- a/Source/Node/CrashMessages.h
+++ b/Source/Node/CrashMessages.h
@@ -17,7 +17,7 @@
 /** An answer to a request suspected of crashing servers, as exchanged between instances. */
 struct AnswerReport {
     RequestDigest digest;
-    std::uint64_t caller = 0; // see callerNumber(); 0: an answer to some caller, not known to which
+    std::uint64_t caller = 0; // see callerHash(); 0: an answer to some caller, not known to which
     Milliseconds at;
 };
 
--- a/Source/Node/CrashingRequestDetector.cpp
+++ b/Source/Node/CrashingRequestDetector.cpp
@@ -280,7 +280,7 @@
 
 void CrashingRequestDetector::tick(Milliseconds now)
 {
-    // A single instance sends no reports, so fillWithOwn() does not drop old entries there.
+    // A single instance sends no reports, so appendOwnReports() does not drop old entries there.
     this->dropExpiredReports(now);
     const std::size_t before = this->table.size();
     this->table.expire(now);
--- a/Source/Node/CustomerAuthenticator.h
+++ b/Source/Node/CustomerAuthenticator.h
@@ -20,7 +20,7 @@
     std::uint64_t configurationNumber = 0; // this instance's number of the configuration used for the check
 };
 
-/** Identifies the customer of a request by its key. */
+/** Identifies the customer of a request by its key, and decides whether the request must be refused. */
 class CustomerAuthenticator {
 public:
     /** If any customers are configured, a request needs a valid key unless its route is public. */
--- a/Source/Node/Node.h
+++ b/Source/Node/Node.h
@@ -44,8 +44,8 @@
     struct Options {
         std::string name;
         std::string dataCentre;
-        std::uint32_t capacity
-            = 0; // processor time available to this instance, in percent of one processor; 0: unknown
+        /** Processor time available to this instance, in percent of one processor; 0: unknown. */
+        std::uint32_t capacity = 0;
         NetworkAddress peersAddress;
         std::uint64_t incarnation = 0; // increases with each start of the instance of this name
         std::uint64_t seed = 0;
--- a/Source/Node/RequestFlow.cpp
+++ b/Source/Node/RequestFlow.cpp
@@ -239,8 +239,8 @@
             continue;
         }
         held.push_back(*number);
-        // Slow and Unheard depend on the time left: another request may still be answered in time. With any other
-        // reason the rest of the queue cannot be sent either.
+        // Slow and NoRecentReport depend on the time left: another request may still be answered in time. With any
+        // other reason the rest of the queue cannot be sent either.
         if (choice.reason != NoServerReason::Slow && choice.reason != NoServerReason::NoRecentReport)
             break;
     }
--- a/Source/Node/RequestRecords.h
+++ b/Source/Node/RequestRecords.h
@@ -18,9 +18,9 @@
 /** A log record of a decision on a request, with the request's id and route. */
 DecisionRecord recordOfRequest(RecordTopic topic, std::string_view event, const RequestState& request);
 
-/** For a request that matches no route or arrived before the first configuration. */
+/** The log record of a refused request that matches no route or arrived before the first configuration. */
 DecisionRecord recordOfUnrouted(const RequestArrived& event, RefusalReason reason, std::uint64_t version);
-/** For an attempt sent to a backend server, with the load data on which the choice was based. */
+/** The log record of an attempt sent to a backend server, with the load data on which the choice was based. */
 DecisionRecord recordOfSent(
     const RequestState& request, const BackendServerState& server, const KnowledgeUsed& used, Milliseconds now);
 DecisionRecord recordOfFailed(
--- a/Source/Node/RolloutManager.h
+++ b/Source/Node/RolloutManager.h
@@ -23,7 +23,7 @@
 /**
  * Moves services to new versions as ordered by operators.
  *
- * Every instance counts good and bad answers of the usual and the new version
+ * Every instance counts good and bad answers of the present and the new version
  * by route and sends the counts to the other instances. The leading watcher
  * derives the next state of each roll-out from the sum (see RolloutPlan) and
  * writes it to the store, conditionally on the revision that it has read. Every
--- a/Source/Node/ServerChooser.cpp
+++ b/Source/Node/ServerChooser.cpp
@@ -20,7 +20,7 @@
  */
 constexpr double LateLimitShare = 0.6;
 /**
- * A hedge is sent only to a server that uses at most this fraction of its
+ * A hedge is sent only to a server that uses less than this fraction of its
  * concurrency limit; on busy servers it would displace first attempts. Fraction
  * of requests answered within their target, with and without this rule: 0.59
  * and 0.56 during a load spike, 0.70 and 0.69 with four of ten servers down.
--- a/Source/Node/ServerChooser.h
+++ b/Source/Node/ServerChooser.h
@@ -33,11 +33,11 @@
     bool startSearch(RequestState& request, Milliseconds now, Actions& actions) const;
     /** True when the request need not wait for further load reports after this server's report or failed probe. */
     bool isEnough(RequestState& request, const BackendServerState& server, Milliseconds now) const;
-    /** For a queued request. If no suitable server is known, probes further servers where that may help. */
+    /** Chooses for a queued request. If no suitable server is known, probes further servers where that may help. */
     ServerChoice chooseOrProbe(RequestState& request, Milliseconds now, Actions& actions) const;
-    /** For a retry, from the load reports at hand, without probing. */
+    /** Chooses for a retry from the load reports at hand, without probing. */
     ServerChoice chooseForRetry(const RequestState& request, Milliseconds now) const;
-    /** For a second attempt while the first is still in flight. */
+    /** Chooses for a second attempt while the first is still in flight. */
     ServerChoice chooseForHedge(const RequestState& request, Milliseconds now) const;
 
 private:
--- a/Source/Node/ServerRateLimiter.h
+++ b/Source/Node/ServerRateLimiter.h
@@ -71,8 +71,8 @@
     /** Handles the header fields of a server's answer, which may state a limit. */
     void handleNotice(const ServerNoticed& event, Milliseconds now, Actions& actions);
     /**
-     * A server has answered completely a request sent at sentAt. Called after heard() for the same answer, so a limit
-     * that was not stated again has ended.
+     * A server has answered completely a request sent at sentAt. Called after handleNotice() for the same answer, so a
+     * limit that was not stated again has ended.
      */
     void answered(BackendServerState& server, Milliseconds sentAt, Milliseconds now, Actions& actions);
 
--- a/Source/Node/ServiceState.h
+++ b/Source/Node/ServiceState.h
@@ -40,7 +40,7 @@
     ServiceDescription description;
     ServicePool pool;
     WaitingQueue queue;
-    double targetShareSum = 0; // at 1, the next request goes to the version under rollout
+    double targetShareSum = 0; // at 1, the next request goes to the new version of a roll-out
     RetryBudget retryBudget;
     /**
      * Late callers that are queued as if they were on time, so that none waits for ever. A larger share would delay
--- a/Source/Node/ServiceTable.h
+++ b/Source/Node/ServiceTable.h
@@ -61,7 +61,7 @@
      * is unknown.
      */
     std::shared_ptr<ServiceState> chooseService(const Route& route);
-    /** Records that a request of the route was sent to the service that serviceFor() returned. */
+    /** Records that a request of the route was sent to the service that chooseService() returned. */
     void recordSent(const Route& route, const std::string& service);
     std::shared_ptr<ServiceState> byName(std::string_view name) const;
     std::shared_ptr<BackendServerState> backendServer(std::string_view id) const;
--- a/Tests/Node/ColdServersTest.cpp
+++ b/Tests/Node/ColdServersTest.cpp
@@ -18,7 +18,7 @@
 constexpr Milliseconds Gap{ 2 };
 constexpr std::uint32_t ColdLimitPerSecond = 3;
 constexpr std::uint32_t ColdMilliseconds = 3000;
-/** Highest number of requests in a second that the platform accepts at a cold server. */
+/** Most requests per second that the platform accepts at one cold server; higher than the server's cold-start limit. */
 constexpr double MaxPerSecond = ColdLimitPerSecond * 1.5 + 8;
 
 /** The event half a second before a data centre's servers are taken back cold, and their cold-start limit. */
--- a/Tests/Node/LapsedServersTest.cpp
+++ b/Tests/Node/LapsedServersTest.cpp
@@ -40,7 +40,7 @@
     StoreRevision revision = 0;
     Milliseconds now;
 
-    /** Starts a node that knows one server from the store, with confirmed knowledge. */
+    /** Starts a node that knows one server from the store and whose store view was just confirmed. */
     void begin(const char* value)
     {
         Node::Options options;
--- a/Tests/Node/ReturnOfAllTest.cpp
+++ b/Tests/Node/ReturnOfAllTest.cpp
@@ -65,7 +65,7 @@
     CHECK_TEXT(fullPrice <= item.instances * PagesOfAReading, item.name);
 }
 
-/** The start of a whole fleet of weak instances, some of them strong or none. */
+/** The start of a whole fleet, in which all instances are weak or all but a few. */
 struct LinkCase {
     const char* name;
     std::size_t instances;
