--- a/Source/Crashes/CrashTable.h
+++ b/Source/Crashes/CrashTable.h
@@ -17,7 +17,7 @@
 /** A request of one caller. */
 struct CallerRequest {
     RequestDigest digest;
-    std::uint64_t caller = 0; // see callerNumber()
+    std::uint64_t caller = 0; // see callerHash()
     bool hasOneAddress = false; // its service has only one backend server
 };
 
@@ -33,11 +33,11 @@
  * - The crashes of each caller's requests are evaluated separately, so that one caller's request is not refused for
  *   what others sent. If several callers sent the same request and none had an answer, their crashes are evaluated
  *   together, and the result applies to all callers.
- * - A crash does not count against a request if another request, under which three or more servers crashed, was there
- *   too and has more crashes, as that one is the likelier cause. Of 100 requests, each present with a probability of
- *   15 % at each of 30 crashes caused by one other request, 76 were present at three or more; none is refused with this
- *   rule (CrashTable test). All crashes that are explained in this way count as one if there are several, so that two
- *   requests that both crash servers are both found.
+ * - A crash does not count against a request if another request with three or more crashes was there too and has more
+ *   crashes, as that one is the likelier cause, or if both have exactly three. Of 100 requests, each present with a
+ *   probability of 15 % at each of 30 crashes caused by one other request, 76 were present at three or more; none is
+ *   refused with this rule (CrashTable test). All crashes that are explained in this way count as one if there are
+ *   several, so that two requests that both crash servers are both found.
  *
  * Output: a request that is found to crash servers is refused for some time after its last crash. Then it may be tried
  * at one server, and each further crash makes the time longer.
--- a/Source/Crashes/ServerCrash.h
+++ b/Source/Crashes/ServerCrash.h
@@ -10,11 +10,11 @@
 
 /** The process of a backend server ended while a request was in flight there. */
 struct ServerCrash {
-    std::uint64_t server = 0; // see serverNumber()
+    std::uint64_t server = 0; // see serverHash()
     /** Number of the crash among those of this server under this request: one record may cover several processes. */
     std::uint32_t ordinal = 1;
     NetworkAddress address;
-    std::uint64_t caller = 0; // that sent the request; see callerNumber()
+    std::uint64_t caller = 0; // that sent the request; see callerHash()
     Milliseconds at;
 
     /** True when both describe the same crash, whichever instance saw it, and whichever caller's request was there. */
--- a/Source/Measurement/ServerSearch.h
+++ b/Source/Measurement/ServerSearch.h
@@ -43,7 +43,7 @@
         unsigned mostRounds = 6; // of probes for one request
         Milliseconds reportFreshFor{ 25 }; // a server with a younger report is not probed again
         Milliseconds reportUsableFor{ 100 }; // a server that may not be probed is replaced only if its report is older
-        Milliseconds maxRoundTime{ 14 }; // duration of a round
+        Milliseconds maxRoundTime{ 14 }; // maximum duration of a round
         double holdShare = 0.35; // of the target latency that a request may be held back
         std::string dataCentre; // of this instance
     };
--- a/Source/Quotas/CreditGrantorLease.h
+++ b/Source/Quotas/CreditGrantorLease.h
@@ -48,7 +48,7 @@
         /** Longer than most store outages: without it all customers with a limit would be refused during an outage. */
         Milliseconds halfFor{ 10000 };
         Milliseconds lostAfter{ 1800 }; // without a message, an instance counts as lost; watchers send every 1.3 s
-        Milliseconds leaderFirst{ 250 }; // then any watcher takes a released role: the leading one may be stopping
+        Milliseconds leaderFirst{ 250 }; // then any watcher takes a free role: the leading one may be stopping
         Milliseconds answerTimeout{ 1500 };
     };
 
--- a/Source/Quotas/CreditManager.h
+++ b/Source/Quotas/CreditManager.h
@@ -77,7 +77,9 @@
 
     /** Sets the least number of instances in the fleet; nullopt: unknown, no credit is used without a grant. */
     void setInstances(std::optional<std::size_t> count) { this->instances = count; }
-    /** Decides on a new request. If it is Awaited, the decision follows from answered(), tick() or nobodyGrants(). */
+    /**
+     * Decides on a new request. If it is Awaited, the decision follows from answered(), tick() or refuseAllWaiting().
+     */
     CreditDecision request(RequestNumber request, const Customer& customer, Milliseconds now);
     /** Takes credit that is available here and returns when it was granted; nullopt if there is none. */
     std::optional<Milliseconds> takeLocal(const Customer& customer, Milliseconds now);
--- a/Source/Rollouts/CusumDetector.cpp
+++ b/Source/Rollouts/CusumDetector.cpp
@@ -7,8 +7,7 @@
 
 namespace {
 
-/** The share of bad answers up to which a version counts as good: at least this, or this factor times the usual share.
- */
+/** A version is good up to this share of bad answers, or up to GoodFactor times the usual share if that is more. */
 constexpr double MinimumGoodShare = 0.02;
 constexpr double GoodFactor = 1.5;
 /** The smallest increase in the share of bad answers that the test is designed to detect. */
@@ -16,7 +15,7 @@
 constexpr double HighestShare = 0.9;
 /**
  * The log likelihood ratio at which a version counts as bad. A good version reaches it in about one of three thousand
- * starts of the sum. If the usual version has no bad answers, four bad answers in a row reach it.
+ * starts of the sum. If the usual version has no bad answers, five bad answers in a row reach it.
  */
 constexpr double Threshold = 8;
 
--- a/Source/Rollouts/RolloutState.h
+++ b/Source/Rollouts/RolloutState.h
@@ -24,7 +24,7 @@
     std::string targetVersion;
     std::uint64_t order = 0; // RolloutOrder::number
     RolloutPhase phase = RolloutPhase::Trying;
-    double share = 0; // of the requests that go to the new version
+    double share = 0; // share of the requests that goes to the new version
     Milliseconds elapsed; // from the order until this state was written
 
     bool isOver() const { return this->phase == RolloutPhase::Completed || this->phase == RolloutPhase::RolledBack; }
--- a/Source/Rollouts/VersionRule.h
+++ b/Source/Rollouts/VersionRule.h
@@ -16,7 +16,7 @@
 
     Use use = Use::All;
     std::string target; // the target version
-    double share = 0; // of the requests that are assigned to the target version; only if use is Shared
+    double share = 0; // share of the requests assigned to the target version; only if use is Shared
 
     /** Whether a server of this version may get a request; wantsTarget is the assignment of the request if Shared. */
     bool allows(std::string_view version, bool wantsTarget) const
--- a/Source/Routing/LoadAwarePolicy.cpp
+++ b/Source/Routing/LoadAwarePolicy.cpp
@@ -28,7 +28,7 @@
 constexpr double UsualAge = 4;
 /** Added to the score of a server in another data centre, in times of a usual request. */
 constexpr double DistanceShare = 0.5;
-/** A server that has just started is slower by this factor. */
+/** A cold server is slower by this factor. */
 constexpr double ColdFactor = 1.7;
 /** Weight of the share of failed requests. */
 constexpr double FailureWeight = 4;
--- a/Source/Routing/OutlierDetector.h
+++ b/Source/Routing/OutlierDetector.h
@@ -9,7 +9,7 @@
 
 namespace burlreach {
 
-/** Ejects backend servers that fail repeatedly for some time, but never more than half of a pool at once. */
+/** Ejects, for some time, backend servers that fail repeatedly; at most half of a pool is ejected at once. */
 class OutlierDetector {
 public:
     struct Options {
--- a/Source/Routing/ServicePool.h
+++ b/Source/Routing/ServicePool.h
@@ -42,7 +42,7 @@
     std::span<const std::shared_ptr<BackendServerState>> tried; // servers used before; others are preferred
     bool onlyUntried = false; // excludes the tried ones altogether
     bool mayUseTrialServers = true; // a backend server on trial after an ejection may be chosen
-    // Excludes servers that reported just now that work takes more than this many times as long as usual.
+    /** Excludes servers that reported just now that work takes more than this many times as long as usual. */
     double maxWorkFactor = std::numeric_limits<double>::infinity();
     bool onlyWithRecentReport = false; // excludes servers without a recent load report, except those with a limit
     double slotShare = 1; // share of a server's usable slots that may be filled; lower for requests of low priority
@@ -103,7 +103,10 @@
     double slots() const;
 
 private:
-    /** True when no request is in flight at any server and none has reported for some time. */
+    /**
+     * True when no request of this instance is in flight at any server, and no server has reported or refused a request
+     * recently.
+     */
     bool isInactive(Milliseconds now) const;
     bool hasCapacity(
         const BackendServerState& server, double requests, const SelectionCriteria& wish, Milliseconds now) const;
--- a/Tests/Routing/ServicePoolTest.cpp
+++ b/Tests/Routing/ServicePoolTest.cpp
@@ -217,7 +217,7 @@
 }
 
 // Guards against requests that wait for ever: no instance probed the full server any more, so none noticed that it had
-// free slots again (soak test, seed 2).
+// free slots again.
 TEST(ServicePool, AFullServerWithoutRecentReportsGetsOneRequest)
 {
     ServicePool single(std::make_unique<LoadAwarePolicy>(), {});
@@ -231,8 +231,8 @@
     CHECK_FALSE_TEXT(single.choose({}, this->context, this->random).server, "one request is in flight");
 }
 
-// Three of four servers that announced a shutdown but kept running got no requests for ever (soak test, seed 2). Only a
-// new life of such a server gets requests again, whatever its answers to probes say.
+// A server that announced its shutdown gets requests again only in a new life, whatever its answers to probes say. One
+// that keeps running in the same life gets none for ever, as happened to three of four servers.
 TEST(ServicePool, AServerThatAnnouncedItsShutdownIsUsedAgainOnlyInANewLife)
 {
     BackendServerRecord server = record("s1");
