--- a/Source/Routing/ServicePool.h
+++ b/Source/Routing/ServicePool.h
@@ -88,7 +88,7 @@
     }
 
     ServerChoice choose(const SelectionCriteria& wish, const RoutingContext& context, Random& random);
-    /** At most so many servers that are worth probing before a choice, in order of their score, best first. */
+    /** At most `most` servers that are worth probing before a choice, in order of their score, best first. */
     std::vector<std::shared_ptr<BackendServerState>> probeCandidates(
         std::size_t most, const RoutingContext& context, Random& random) const;
     /** Updates the slowdown estimate with an attempt that has ended at one of the backend servers. */
