--- a/Source/Configuration/NativeItemTranslator.cpp
+++ b/Source/Configuration/NativeItemTranslator.cpp
@@ -26,7 +26,10 @@
     return given ? Milliseconds{ static_cast<double>(given) } : DefaultDeadline;
 }
 
-/** The service's rules and the defaults: GET, HEAD and OPTIONS may repeat, all other methods run once. */
+/**
+ * The service's rules, and defaults for the methods to which no rule for the path prefix "/" applies: GET, HEAD and
+ * OPTIONS may repeat, all other methods run once.
+ */
 std::vector<v1::RequestRule> rulesOf(const v1::Service& service)
 {
     std::vector<v1::RequestRule> rules(service.rules().begin(), service.rules().end());
--- a/Source/Http/HttpListener.cpp
+++ b/Source/Http/HttpListener.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /**
- * The caller of a session that was active more recently may be sending a request. If nobody has connected for this
+ * The caller of a session that was active within this time may be sending a request. If nobody has connected for this
  * long, no caller is assumed to be connecting.
  */
 constexpr Milliseconds MinIdleTime{ 200 };
--- a/Source/Http/HttpListener.h
+++ b/Source/Http/HttpListener.h
@@ -37,7 +37,7 @@
     void stopAccepting();
     /** From now on, sessions close their connection after the answer to their newest request. */
     void closeAfterAnswers();
-    /** Closes sessions that were idle for 200 ms; the caller of a newer one may be about to send a request. */
+    /** Closes sessions that were idle for 200 ms; callers of those idle for less may be about to send a request. */
     void closeIdle();
     /** Closes sessions that exceed their time limits; to be called about once a second. */
     void closeExpiredSessions();
--- a/Source/Membership/PullScheduler.h
+++ b/Source/Membership/PullScheduler.h
@@ -22,7 +22,7 @@
         Milliseconds updateDelay{ 200 }; // delay of the pull after an update without changes
         Milliseconds timeout{ 1000 }; // for the answer to a pull, before the next one
         // For an announced push: 150 KB over three hops of 10 Mbit/s take about half of it, and a pull after it is
-        // still answered before this instance would have to ask the store itself.
+        // still answered before this instance would have to call the store itself.
         Milliseconds pushTimeout{ 900 };
     };
 
--- a/Source/Membership/WatcherSelection.cpp
+++ b/Source/Membership/WatcherSelection.cpp
@@ -14,7 +14,7 @@
 /**
  * Turns use another hash than ranks: the instances of the lowest rank are the watchers, so with the same hash they
  * would have the first turns as well. In 300 simulated fleets of 13 instances in which the store refuses only the
- * watchers, no other instance asked within 1.9 s of the store's last answer in 3 fleets. With the hash of the rank and
+ * watchers, no other instance called it within 1.9 s of its last answer in 3 fleets. With the hash of the rank and
  * a whole first round it was 175 fleets.
  */
 constexpr std::uint64_t TurnSeed = 3;
@@ -234,8 +234,8 @@
     for (const Watcher* watcher : this->ranked(now)) {
         const bool isActiveWatcher = this->isActive(*watcher, now);
         std::size_t& count = isActiveWatcher ? activeCount : otherCount;
-        // A watcher that only others named gets a hello if its rank is lower than that of the worst selected reporting
-        // watcher, or if there are too few of those.
+        // A watcher without recent answers of the store gets a hello only if its rank is lower than that of the last
+        // selected active watcher, or if there are too few active ones.
         if (count >= this->options.wantedWatchers
             || (!isActiveWatcher && activeCount >= this->options.wantedWatchers && last < watcher->rank))
             continue;
--- a/Source/Membership/WatcherSelection.h
+++ b/Source/Membership/WatcherSelection.h
@@ -18,7 +18,7 @@
  * A few instances watch the store and send its changes to the others as gossip updates. There is no election and no
  * record in the store. An instance volunteers when it knows of too few watchers, after a delay that depends on its
  * name, and stops when enough other watchers have a lower rank. An instance without fresh knowledge of the store, for
- * whatever cause, watches at once.
+ * whatever cause, watches at once, except as follows.
  *
  * During a store outage the watchers keep calling the store, and their updates say that it does not answer. Instances
  * that receive those updates do not call the store too, or all of them would call it again and again. Each calls it
@@ -128,8 +128,8 @@
     Milliseconds vacantSince = Never; // since when there are too few watchers
     Milliseconds nextTurn = Never; // the next turn of this instance to call the store although the watchers do
     Milliseconds turnEnd = LongAgo; // end of its present turn
-    Milliseconds deferredUntil
-        = LongAgo; // until then it leaves the calls to the watchers, though its knowledge is stale
+    /** Until then this instance leaves calls to the store to the watchers, although its knowledge is stale. */
+    Milliseconds deferredUntil = LongAgo;
 };
 
 }
--- a/Source/Operators/OperatorServer.cpp
+++ b/Source/Operators/OperatorServer.cpp
@@ -15,7 +15,7 @@
 constexpr Milliseconds ChangeTimeout{ 20000 };
 constexpr Milliseconds InquiryTimeout{ 5000 };
 
-/** Answers with a ChangeAnswer that holds one finding; in JSON, all answers list their findings under this name. */
+/** Answers with a ChangeAnswer of one finding; in JSON, all answers that have findings list them as "findings". */
 void answerWithFinding(httplib::Response& response, int status, std::string_view place, std::string_view message)
 {
     v1::ChangeAnswer answer;
--- a/Source/Peers/PeerLink.h
+++ b/Source/Peers/PeerLink.h
@@ -28,7 +28,7 @@
         /** A computer that is powered off does not refuse connections, and TCP repeats its SYN only after 1 s. */
         Milliseconds connectTimeout{ 250 };
         Milliseconds idleTimeout{ 15000 }; // without a message to send; then the connection is closed
-        std::size_t maxQueuedMessages = 512; // messages; the oldest one is dropped when there are more
+        std::size_t maxQueuedMessages = 512; // the oldest one is dropped when there are more
     };
 
     PeerLink(asio::io_context& context, const Clock& clock, NetworkAddress address, Options options,
--- a/Source/Store/StoreReader.h
+++ b/Source/Store/StoreReader.h
@@ -39,7 +39,7 @@
         Milliseconds firstReadingSpread;
         Milliseconds watchWait{ 1200 }; // also the interval at which a watch without changes confirms the view
         Milliseconds watchGap{ 150 }; // pause after changes, so that further changes come with one answer
-        Milliseconds readTimeout{ 800 }; // without a byte of the answer; doubled after each timeout
+        Milliseconds readTimeout{ 800 }; // without a byte of the answer; doubled after each timeout, up to the longest
         Milliseconds longestReadTimeout{ 1600 }; // hundreds of instances that read at once share the store's link
         Milliseconds watchGrace{ 500 }; // timeout of a watch after its wait
         Backoff::Options backoff{ .first = { 100 }, .longest = { 1500 } };
@@ -78,7 +78,7 @@
     Milliseconds readingStartedAt = LongAgo; // when the first page was requested
     Milliseconds pausedUntil = LongAgo;
     Milliseconds currentReadTimeout; // timeout of the next reading
-    Milliseconds latency; // of the store's last answer, without the wait of a watch
+    Milliseconds latency; // of the last page or watch without changes, less the wait of the watch
     bool hasStarted = false; // the time of the first reading has been chosen
     bool historyLost = false; // everything must be read before the next watch
     bool watching = false;
--- a/Source/Store/StoreView.h
+++ b/Source/Store/StoreView.h
@@ -13,7 +13,8 @@
 
 namespace burlreach {
 
-/** Values of at least this size are sent compressed, after the small ones, and translated outside the decisions. */
+/** Values of at least this size are sent compressed, after the small ones, and translated outside Node's event
+ * handling. */
 inline constexpr std::size_t LargeValueBytes = 16384;
 
 /**
@@ -44,8 +45,7 @@
 
     /** Null if the key is absent or removed. */
     const StoreItem* find(std::string_view key) const;
-    /** The value that the key got at exactly this revision; null unless it is the present value or a kept earlier one.
-     */
+    /** The value that the key got at this revision; null unless it is the present value or a kept earlier one. */
     const StoreItem* at(std::string_view key, StoreRevision revision) const;
     /**
      * The latest value of the key up to this revision, which is the one of an instance that is complete up to it; null
--- a/Tests/Http/HttpExchangeTest.cpp
+++ b/Tests/Http/HttpExchangeTest.cpp
@@ -173,7 +173,7 @@
 
 TEST(HttpExchange, IgnoresAConnectTimeoutThatIsDueTogetherWithTheConnection)
 {
-    // In a busy process both events can be ready in the same poll.
+    // In a busy process, the expired timeout and the established connection can be ready in the same poll.
     const ScriptedServer server({ Ok });
     asio::io_context context;
     HttpExchangeResult result = HttpExchangeResult::Broken;
--- a/Tests/Http/HttpListenerTest.cpp
+++ b/Tests/Http/HttpListenerTest.cpp
@@ -201,9 +201,9 @@
 
 TEST_GROUP(HttpListener){};
 
-// A connection that is established between the last accept and the close of the
-// listening socket was reset: 1 of 12,000 callers of a soak test on a busy
-// machine.
+// Guards against a reset of a connection that is established between the last
+// accept and the close of the listening socket. It happened to 1 of 12,000
+// callers on a busy machine.
 TEST(HttpListener, AStopResetsNoEstablishedConnection)
 {
     constexpr int rounds = 20;
@@ -238,9 +238,9 @@
     LONGS_EQUAL(0, lost);
 }
 
-// In a soak test on a busy machine, a caller connected 10 ms after the lead time
-// of a planned stop, and its connection was reset unread. The listener must stay
-// open as long as callers connect.
+// The listener must stay open as long as callers connect. Otherwise a caller
+// that connects after the lead time of a planned stop, 10 ms in one case on a
+// busy machine, has its connection reset before anything is read.
 TEST(HttpListener, AStopResetsNoLateCaller)
 {
     constexpr int rounds = 20;
--- a/Tests/Membership/AskingTurnsTest.cpp
+++ b/Tests/Membership/AskingTurnsTest.cpp
@@ -21,11 +21,11 @@
 
 constexpr std::size_t Watchers = 3;
 constexpr int Fleets = 300;
-/** The share of fleets in which no instance may have asked in time: the turns depend on the names, drawn at random. */
+/** The highest share of fleets in which no instance calls the store in time: turns depend on names drawn at random. */
 constexpr double MaximumLateShare = 0.02;
 /** A change must be in force within this time. */
 constexpr Milliseconds InForceWithin{ 2000 };
-/** The time that a change takes from the first instance that asks the store to all others. */
+/** The time that a change takes from the first instance that calls the store to all others. */
 constexpr Milliseconds PropagationTime{ 100 };
 constexpr Milliseconds Step{ 10 };
 /** How often watchers without answers of the store send an update. */
@@ -60,7 +60,7 @@
     return fleet;
 }
 
-/** The time from the store's last answer until the first instance other than the watchers asks it. */
+/** The time from the store's last answer until the first instance other than the watchers calls it. */
 Milliseconds firstAskedAfter(const Fleet& fleet)
 {
     std::vector<WatcherSelection> others;
--- a/Tests/Membership/WatcherSelectionTest.cpp
+++ b/Tests/Membership/WatcherSelectionTest.cpp
@@ -81,7 +81,7 @@
     }
 }
 
-// If the store refuses only the watchers, other instances must find that out, with few of them calling it at a time.
+// If the store refuses only the watchers, other instances must find out that it serves them, a few calling at a time.
 TEST(WatcherSelection, EachInstanceAsksInItsTurnWhileTheWatchersGetNoAnswers)
 {
     constexpr int fleet = 200;
--- a/Tests/Platform/KvItemTranslatorTest.cpp
+++ b/Tests/Platform/KvItemTranslatorTest.cpp
@@ -29,7 +29,7 @@
     return { .key = key, .value = value, .revision = 7, .removed = removed };
 }
 
-/** An item that translates to no facts, either because its key is not used or because it is invalid. */
+/** An item that sets nothing, either because its key is not used or because it is invalid. */
 struct Case {
     const char* name;
     StoreItem item;
