--- a/Source/Store/StoreView.h
+++ b/Source/Store/StoreView.h
@@ -13,8 +13,7 @@
 
 namespace burlreach {
 
-/** Values of at least this size are sent compressed, after the small ones, and translated outside Node's event
- * handling. */
+/** Values of at least this size are sent compressed, after the small ones, and translated outside of Node. */
 inline constexpr std::size_t LargeValueBytes = 16384;
 
 /**
--- a/Source/Traffic/UnreadFields.h
+++ b/Source/Traffic/UnreadFields.h
@@ -17,7 +17,7 @@
 /**
  * Finds fields in backend servers' answers that neither HTTP nor the dialect
  * defines. Whatever a server states in them is ignored, so operators should
- * learn of them. Each name is returned once.
+ * learn of them. Each name is returned once, and at most 32 names in all.
  */
 class UnreadFields {
 public:
