--- a/Source/Peers/PeerClient.h
+++ b/Source/Peers/PeerClient.h
@@ -17,7 +17,7 @@
 
     /** Sends a message, or drops and counts it if it is too large. */
     void send(const NetworkAddress& address, const peers::PeerMessage& message);
-    /** Closes and removes links that have been idle for too long; to be called a few times a second. */
+    /** Enforces the time limits of all links and removes idle ones; to be called a few times a second. */
     void closeIdleLinks();
     void close();
 
