--- a/Source/Configuration/StoreItemTranslator.h
+++ b/Source/Configuration/StoreItemTranslator.h
@@ -40,7 +40,10 @@
     /** The prefix of the keys to watch. */
     virtual std::string watchedPrefix() const = 0;
     virtual ConfigurationUpdate translate(const StoreItem& item) const = 0;
-    /** The item with the state of a service's roll-out for operators; an empty key: they ask the instances instead. */
+    /**
+     * The store item that shows operators the state of a service's roll-out. Its key is empty if the store holds no
+     * such item and operators get the state from the instances.
+     */
     virtual StoreItem rolloutStatus(const std::string&, const RolloutState&) const { return {}; }
     /**
      * The value of the item with digests in place of its secrets, which no instance keeps or sends to others; nullopt
--- a/Tests/Platform/LeavingNoticesTest.cpp
+++ b/Tests/Platform/LeavingNoticesTest.cpp
@@ -95,8 +95,8 @@
 {
     std::unique_ptr<asio::io_context> context; // must outlive the objects below
     std::unique_ptr<LoopbackInstance> instance;
-    std::unique_ptr<ScriptedServer> leaving; // i-a
-    std::unique_ptr<ScriptedServer> other; // i-b
+    std::unique_ptr<ScriptedServer> leaving; // backend server i-a
+    std::unique_ptr<ScriptedServer> other; // backend server i-b
 
     /** Starts an instance with i-a as its only server, which answers by this script. */
     void begin(const ScriptedServer::Script& script)
--- a/Tests/Platform/NamedLimitsTest.cpp
+++ b/Tests/Platform/NamedLimitsTest.cpp
@@ -52,8 +52,8 @@
 {
     std::unique_ptr<asio::io_context> context; // must outlive the objects below
     std::unique_ptr<LoopbackInstance> instance;
-    std::unique_ptr<ScriptedServer> limited; // i-a
-    std::unique_ptr<ScriptedServer> other; // i-b
+    std::unique_ptr<ScriptedServer> limited; // backend server i-a
+    std::unique_ptr<ScriptedServer> other; // backend server i-b
     SteadyClock clock;
     std::vector<Milliseconds> arrivals; // times at which requests arrived at i-a
 
