--- a/Source/Admission/CallerWaitEstimator.cpp
+++ b/Source/Admission/CallerWaitEstimator.cpp
@@ -13,7 +13,7 @@
 
 }
 
-Milliseconds CallerWaitEstimator::spentBefore(Milliseconds timeLeft)
+Milliseconds CallerWaitEstimator::estimateTimeSpent(Milliseconds timeLeft)
 {
     const Milliseconds decayed = this->longest - (this->longest - timeLeft) * DecayShare;
     this->longest = std::max(timeLeft, decayed);
--- a/Source/Admission/CallerWaitEstimator.h
+++ b/Source/Admission/CallerWaitEstimator.h
@@ -13,7 +13,7 @@
 class CallerWaitEstimator {
 public:
     /** Takes the time left of an arriving request and returns the time that its caller has spent before. */
-    Milliseconds spentBefore(Milliseconds timeLeft);
+    Milliseconds estimateTimeSpent(Milliseconds timeLeft);
 
 private:
     Milliseconds longest;
--- a/Source/Crashes/CrashTable.cpp
+++ b/Source/Crashes/CrashTable.cpp
@@ -275,7 +275,7 @@
     return found == this->entries.end() ? 0 : this->evaluation(digest, found->second).counted;
 }
 
-std::size_t CrashTable::countedEnds(const CallerRequest& request) const
+std::size_t CrashTable::countedCrashes(const CallerRequest& request) const
 {
     const auto found = this->entries.find(request.digest);
     if (found == this->entries.end())
--- a/Source/Crashes/CrashTable.h
+++ b/Source/Crashes/CrashTable.h
@@ -92,7 +92,7 @@
     /** Number of crashes that count against the request: of the caller with the most, or of all callers together. */
     std::size_t countedCrashes(const RequestDigest& digest) const;
     /** Number of crashes that count against the request when it comes from this caller. */
-    std::size_t countedEnds(const CallerRequest& request) const;
+    std::size_t countedCrashes(const CallerRequest& request) const;
     /** True when the request is found to crash servers, from one caller or from all. */
     bool isCrashing(const RequestDigest& digest) const;
     /** True when the request may not be sent to any server now. */
--- a/Source/Limits/LimitRegistry.cpp
+++ b/Source/Limits/LimitRegistry.cpp
@@ -29,17 +29,17 @@
 
 LimitChange LimitRegistry::apply(const std::string& backendServer, const LimitReport& next, Milliseconds validFrom)
 {
-    const auto found = this->statements.find(backendServer);
-    const bool isKnown = found != this->statements.end();
+    const auto found = this->reports.find(backendServer);
+    const bool isKnown = found != this->reports.end();
     if (isKnown && next.life < found->second.life)
         return LimitChange::None;
     if (!isKnown || next.life > found->second.life) {
         if (isKnown)
-            this->statements.erase(found);
+            this->reports.erase(found);
         if (!next.perSecond)
             return LimitChange::None;
-        this->statements.emplace(backendServer, next);
-        if (this->statements.size() > this->options.mostServers)
+        this->reports.emplace(backendServer, next);
+        if (this->reports.size() > this->options.mostServers)
             this->forgetOldest();
         return LimitChange::Begun;
     }
@@ -58,14 +58,14 @@
 
 void LimitRegistry::forgetOldest()
 {
-    const auto oldest = std::min_element(this->statements.begin(), this->statements.end(),
+    const auto oldest = std::min_element(this->reports.begin(), this->reports.end(),
         [](const auto& one, const auto& other) { return one.second.at < other.second.at; });
-    this->statements.erase(oldest);
+    this->reports.erase(oldest);
 }
 
 void LimitRegistry::tick(Milliseconds now)
 {
-    std::erase_if(this->statements, [&](const auto& item) {
+    std::erase_if(this->reports, [&](const auto& item) {
         return !item.second.perSecond && now - item.second.at > this->options.endedLimitKept;
     });
 }
@@ -78,8 +78,8 @@
 
 const LimitReport* LimitRegistry::find(std::string_view backendServer) const
 {
-    const auto found = this->statements.find(backendServer);
-    return found != this->statements.end() ? &found->second : nullptr;
+    const auto found = this->reports.find(backendServer);
+    return found != this->reports.end() ? &found->second : nullptr;
 }
 
 std::optional<double> LimitRegistry::limitOf(std::string_view backendServer, std::uint64_t life) const
--- a/Source/Limits/LimitRegistry.h
+++ b/Source/Limits/LimitRegistry.h
@@ -65,14 +65,14 @@
     const LimitReport* find(std::string_view backendServer, std::uint64_t life) const;
     /** The latest report of the server, whatever its life. */
     const LimitReport* find(std::string_view backendServer) const;
-    const std::map<std::string, LimitReport, std::less<>>& all() const { return this->statements; }
+    const std::map<std::string, LimitReport, std::less<>>& all() const { return this->reports; }
 
 private:
     LimitChange apply(const std::string& backendServer, const LimitReport& next, Milliseconds validFrom);
     void forgetOldest();
 
     Options options;
-    std::map<std::string, LimitReport, std::less<>> statements; // by id
+    std::map<std::string, LimitReport, std::less<>> reports; // by id
 };
 
 }
--- a/Source/Limits/PermitSchedule.cpp
+++ b/Source/Limits/PermitSchedule.cpp
@@ -18,7 +18,7 @@
 
 }
 
-PermitSchedule::Grant PermitSchedule::grant(const Wish& wish, Milliseconds now)
+PermitSchedule::Grant PermitSchedule::grant(const PermitRequest& wish, Milliseconds now)
 {
     if (this->servers.size() >= MostAccounts)
         this->dropOld(now);
--- a/Source/Limits/PermitSchedule.h
+++ b/Source/Limits/PermitSchedule.h
@@ -20,7 +20,7 @@
  */
 class PermitSchedule {
 public:
-    struct Wish {
+    struct PermitRequest {
         std::string backendServer;
         std::uint64_t life = 0;
         double perSecond = 0;
@@ -32,7 +32,7 @@
         Milliseconds wait; // until the permit is valid; if denied: until it is worth asking again
     };
 
-    Grant grant(const Wish& wish, Milliseconds now);
+    Grant grant(const PermitRequest& wish, Milliseconds now);
 
 private:
     struct ServerState {
--- a/Source/Measurement/ServerSearch.cpp
+++ b/Source/Measurement/ServerSearch.cpp
@@ -97,14 +97,14 @@
         && server.report().at >= search.arrivedAt;
 }
 
-double ServerSearch::longestWork(const ServerSearchState& search, Milliseconds now) const
+double ServerSearch::maxWorkFactor(const ServerSearchState& search, Milliseconds now) const
 {
     if (now >= search.holdUntil)
         return std::numeric_limits<double>::infinity();
-    return longestWorkInTime(search, now);
+    return maxWorkFactorInTime(search, now);
 }
 
-double ServerSearch::longestWorkInTime(const ServerSearchState& search, Milliseconds now)
+double ServerSearch::maxWorkFactorInTime(const ServerSearchState& search, Milliseconds now)
 {
     const double inTime = (search.inTimeUntil - now) / std::max(search.usualTime, Milliseconds{ 1 });
     return std::max(inTime, UsualWorkFactor);
--- a/Source/Measurement/ServerSearch.h
+++ b/Source/Measurement/ServerSearch.h
@@ -76,9 +76,9 @@
      * How many times longer than usual work may take at a server for it to be chosen now; infinite when any server is
      * better than none.
      */
-    double longestWork(const ServerSearchState& search, Milliseconds now) const;
+    double maxWorkFactor(const ServerSearchState& search, Milliseconds now) const;
     /** The same for an attempt that is useless when it is late, such as a hedge. */
-    static double longestWorkInTime(const ServerSearchState& search, Milliseconds now);
+    static double maxWorkFactorInTime(const ServerSearchState& search, Milliseconds now);
 
 private:
     /** Probes a server, or awaits the probe in flight to it; false when the budget does not allow a probe. */
--- a/Source/Membership/WatcherSelection.cpp
+++ b/Source/Membership/WatcherSelection.cpp
@@ -199,7 +199,7 @@
     return !this->countActiveBelow(now);
 }
 
-std::optional<peers::Member> WatcherSelection::findHigherRankedWatcher(bool isWatching, Milliseconds now) const
+std::optional<peers::Member> WatcherSelection::findFirstWatcher(bool isWatching, Milliseconds now) const
 {
     const Watcher* first = nullptr;
     for (const Watcher& watcher : this->known) {
--- a/Source/Membership/WatcherSelection.h
+++ b/Source/Membership/WatcherSelection.h
@@ -70,7 +70,7 @@
      * All instances that receive the same updates find the same one, whether or not the store answers. nullopt if there
      * is none, or if this instance is watching and has a lower rank.
      */
-    std::optional<peers::Member> findHigherRankedWatcher(bool isWatching, Milliseconds now) const;
+    std::optional<peers::Member> findFirstWatcher(bool isWatching, Milliseconds now) const;
     /**
      * The instances to which this one sends hellos to get their updates: up to `wantedWatchers` active watchers, the
      * lowest ranks first, and up to `wantedWatchers` of the other known watchers. When there are enough active ones,
--- a/Source/Node/CrashingRequestDetector.cpp
+++ b/Source/Node/CrashingRequestDetector.cpp
@@ -47,7 +47,7 @@
 
 bool CrashingRequestDetector::mayBeCrashing(const RequestState& request) const
 {
-    return this->table.countedEnds(keyOf(request)) + this->broken.countOf(request.digest)
+    return this->table.countedCrashes(keyOf(request)) + this->broken.countOf(request.digest)
         >= CrashTable::CrashesToConfirm;
 }
 
--- a/Source/Node/CustomerAuthenticator.cpp
+++ b/Source/Node/CustomerAuthenticator.cpp
@@ -6,7 +6,7 @@
     const CustomerTable& customers, const Route& route, const Credential& credential)
 {
     CallerIdentity identity;
-    identity.isKeyKept = customers.hasCustomers();
+    identity.withholdsKey = customers.hasCustomers();
     if (!customers.hasCustomers())
         return identity;
     const bool hasKey = credential.kind == Credential::Kind::Key;
--- a/Source/Node/CustomerAuthenticator.h
+++ b/Source/Node/CustomerAuthenticator.h
@@ -15,7 +15,7 @@
 struct CallerIdentity {
     std::optional<RefusalReason> problem; // set when the request must be refused
     std::string customer; // empty: no customer
-    bool isKeyKept = false; // do not forward the caller's key to backend servers; true if customers are configured
+    bool withholdsKey = false; // do not forward the caller's key to backend servers; true if customers are configured
     std::optional<std::uint32_t> rank; // of the customer
     std::uint64_t configurationNumber = 0; // this instance's number of the configuration used for the check
 };
--- a/Source/Node/GossipExchange.cpp
+++ b/Source/Node/GossipExchange.cpp
@@ -57,7 +57,7 @@
     , dependencies(givenParts)
     , members(this->options.members)
     , contacts({ .own = addressOf(this->options.self) })
-    , duty(this->options.duty)
+    , watcherSelection(this->options.watcherSelection)
     , pulls(this->options.pulls)
 {
     this->setSeeds(this->options.seeds);
@@ -100,7 +100,7 @@
         this->dependencies.rollouts->receive(message.from(), message.hello().rollouts(), now);
         break;
     case peers::PeerMessage::kNews:
-        this->handleNews(message, now, actions);
+        this->handleUpdate(message, now, actions);
         // The watcher sent this to all instances, so it need not be passed on.
         this->dependencies.crashes->receive(message.news().crashes(), false, now, actions);
         this->dependencies.signs->receive(message.news().leaving_signs(), now);
@@ -152,11 +152,11 @@
     }
     if (this->dependencies.store->isWatching()) {
         if (isNew)
-            this->send(addressOf(member), this->makeNews(hello.store_revision(), now), actions);
+            this->send(addressOf(member), this->makeUpdate(hello.store_revision(), now), actions);
         return;
     }
     peers::PeerMessage told;
-    for (const peers::Member& watcher : this->duty.reportingWatchers(now))
+    for (const peers::Member& watcher : this->watcherSelection.reportingWatchers(now))
         *told.mutable_watchers()->add_watchers() = watcher;
     if (told.has_watchers())
         this->send(addressOf(member), std::move(told), actions);
@@ -194,10 +194,10 @@
 
 void GossipExchange::handleWatchers(const peers::Watchers& message, Milliseconds now, Actions& actions)
 {
-    const bool wasSearching = this->duty.watchers(now).empty();
+    const bool wasSearching = this->watcherSelection.watchers(now).empty();
     for (const peers::Member& watcher : message.watchers())
-        this->duty.recordNamedWatcher(watcher, now);
-    if (wasSearching && !this->duty.watchers(now).empty())
+        this->watcherSelection.recordNamedWatcher(watcher, now);
+    if (wasSearching && !this->watcherSelection.watchers(now).empty())
         this->sendHellos(now, actions);
 }
 
@@ -242,18 +242,18 @@
     this->announceFirstView(now, actions);
 }
 
-void GossipExchange::handleNews(const peers::PeerMessage& message, Milliseconds now, Actions& actions)
+void GossipExchange::handleUpdate(const peers::PeerMessage& message, Milliseconds now, Actions& actions)
 {
     const peers::News& news = message.news();
     const peers::Incarnation& origin = news.origin().incarnation();
     if (origin.name() == this->options.self.incarnation().name() || !this->isNewer(news, now))
         return;
     this->relay(message, actions);
-    const bool introduces = !this->duty.knows(origin) && this->shouldIntroduceMembers(now);
+    const bool introduces = !this->watcherSelection.knows(origin) && this->shouldIntroduceMembers(now);
     const Milliseconds age{ static_cast<double>(news.age_milliseconds()) };
-    this->duty.recordWatcherMessage(news.origin(), news.is_confirmed() ? now - age : LongAgo, now);
+    this->watcherSelection.recordWatcherMessage(news.origin(), news.is_confirmed() ? now - age : LongAgo, now);
     for (const peers::Member& watcher : news.watchers())
-        this->duty.recordNamedWatcher(watcher, now);
+        this->watcherSelection.recordNamedWatcher(watcher, now);
     if (introduces)
         this->introduceMembers(news.origin(), now, actions);
     this->members.update(news.origin(), news.store_revision(), now);
@@ -261,7 +261,7 @@
         this->contacts.learn(addressOf(contact));
     this->reportedInstances = news.member_count();
     this->instancesReportedAt = now;
-    const bool isTaken = this->dependencies.store->applyNews(news, now, actions);
+    const bool isTaken = this->dependencies.store->applyUpdate(news, now, actions);
     this->pulls.recordReachedRevision(this->dependencies.store->view().revision());
     if (isTaken)
         return;
@@ -277,19 +277,19 @@
 {
     // If all did, then whenever all instances watch for a moment, as in a store outage, each would send its member list
     // to every other.
-    return this->isLeadingWatcher(now) || this->duty.reportingWatchers(now).empty();
+    return this->isLeadingWatcher(now) || this->watcherSelection.reportingWatchers(now).empty();
 }
 
 void GossipExchange::introduceMembers(const peers::Member& watcher, Milliseconds now, Actions& actions) const
 {
-    const auto wanted = this->duty.watchers(now);
+    const auto wanted = this->watcherSelection.watchers(now);
     const bool isWanted = std::any_of(wanted.begin(), wanted.end(),
         [&](const peers::Member& item) { return item.incarnation().name() == watcher.incarnation().name(); });
     if (!isWanted)
         return;
     const auto& list = this->members.members();
     const bool knowsOthers = std::any_of(list.begin(), list.end(),
-        [&](const KnownMember& known) { return !this->duty.knows(known.member.incarnation()); });
+        [&](const KnownMember& known) { return !this->watcherSelection.knows(known.member.incarnation()); });
     if (!knowsOthers)
         return;
     peers::PeerMessage message;
@@ -342,14 +342,14 @@
     return message;
 }
 
-peers::PeerMessage GossipExchange::makeNews(StoreRevision since, Milliseconds now)
+peers::PeerMessage GossipExchange::makeUpdate(StoreRevision since, Milliseconds now)
 {
     peers::PeerMessage message;
     peers::News* news = message.mutable_news();
     *news->mutable_origin() = this->options.self;
     news->set_number(++this->newsNumber);
-    this->dependencies.store->fillNews(*news, this->duty.isLeader(now) ? since : 0, now);
-    for (const peers::Member& watcher : this->duty.reportingWatchers(now))
+    this->dependencies.store->fillUpdate(*news, this->watcherSelection.isLeader(now) ? since : 0, now);
+    for (const peers::Member& watcher : this->watcherSelection.reportingWatchers(now))
         *news->add_watchers() = watcher;
     news->set_member_count(static_cast<std::uint32_t>(this->instances(now)));
     this->dependencies.signs->fill(*news->mutable_leaving_signs(), now);
@@ -364,11 +364,11 @@
     return message;
 }
 
-void GossipExchange::broadcastNews(Milliseconds now, Actions& actions)
+void GossipExchange::broadcastUpdate(Milliseconds now, Actions& actions)
 {
     this->members.tick(now);
     this->lastBroadcastAt = now;
-    const peers::PeerMessage message = this->makeNews(this->broadcastRevision, now);
+    const peers::PeerMessage message = this->makeUpdate(this->broadcastRevision, now);
     this->broadcastRevision = this->dependencies.store->view().revision();
     const auto branches = rootBranches(this->members.members(), this->options.tree, now);
     this->sendToBranches(branches, message, actions);
@@ -376,7 +376,7 @@
     if (!message.news().large_changes_follow())
         return;
     peers::PeerMessage follows;
-    *follows.mutable_push() = this->dependencies.store->pushAfterNews(message.news());
+    *follows.mutable_push() = this->dependencies.store->pushAfterUpdate(message.news());
     actions.emplace_back(
         pushRecord("changes_sent", this->options.self.incarnation(), follows.push(), *this->dependencies.store));
     this->sendToBranches(branches, std::move(follows), actions);
@@ -385,7 +385,7 @@
 void GossipExchange::sendToOtherWatchers(const peers::PeerMessage& news, Milliseconds now, Actions& actions) const
 {
     const auto& list = this->members.members();
-    for (const peers::Member& watcher : this->duty.watchers(now)) {
+    for (const peers::Member& watcher : this->watcherSelection.watchers(now)) {
         const bool isMember = std::any_of(list.begin(), list.end(), [&](const KnownMember& known) {
             return known.member.incarnation().name() == watcher.incarnation().name();
         });
@@ -397,7 +397,7 @@
 void GossipExchange::notifyOthers(Milliseconds now, Actions& actions)
 {
     if (this->dependencies.store->isWatching())
-        this->broadcastNews(now, actions);
+        this->broadcastUpdate(now, actions);
     else
         this->sendHellos(now, actions);
 }
@@ -411,7 +411,7 @@
 
 void GossipExchange::sendHellos(Milliseconds now, Actions& actions)
 {
-    const std::vector<peers::Member> watchers = this->duty.watchers(now);
+    const std::vector<peers::Member> watchers = this->watcherSelection.watchers(now);
     const bool isSearching = watchers.empty() && !this->dependencies.store->isWatching();
     if (!isSearching)
         this->failedSearches = 0;
@@ -429,9 +429,9 @@
         this->send(seed, this->makeHello(now), actions);
         // Instances that search for a watcher ask the seeds, so the seeds must know this one.
         if (this->dependencies.store->isWatching())
-            this->send(seed, this->makeNews(0, now), actions);
+            this->send(seed, this->makeUpdate(0, now), actions);
     }
-    if (!this->duty.watchers(now).empty())
+    if (!this->watcherSelection.watchers(now).empty())
         return;
     for (const NetworkAddress& contact : this->contacts.some(ContactsPerSearch, *this->dependencies.random))
         this->send(contact, this->makeHello(now), actions);
@@ -445,7 +445,7 @@
     if (now >= this->nextSeeds && this->dependencies.store->isWatching())
         this->sendHellosToSeeds(now, actions);
     if (now >= this->nextKeepAlive() && this->dependencies.store->isWatching())
-        this->broadcastNews(now, actions);
+        this->broadcastUpdate(now, actions);
     if (now >= this->sendViewAt)
         this->sendViewToNewInstances(now, actions);
     this->pull(now, actions);
@@ -463,15 +463,16 @@
         due = std::min(due, call.deadline);
     const bool mayStartWatching
         = !this->dependencies.store->isWatching() && this->dependencies.store->view().revision();
-    return mayStartWatching ? std::min(due, this->duty.nextChange(this->dependencies.store->lastUpdateAt())) : due;
+    return mayStartWatching ? std::min(due, this->watcherSelection.nextChange(this->dependencies.store->lastUpdateAt()))
+                            : due;
 }
 
 bool GossipExchange::shouldWatch(Milliseconds now)
 {
     // Before the first read there is no revision to watch from.
     return this->dependencies.store->view().revision()
-        && this->duty.shouldWatch(this->dependencies.store->isWatching(), this->dependencies.store->lastUpdateAt(),
-            this->instances(now), now);
+        && this->watcherSelection.shouldWatch(this->dependencies.store->isWatching(),
+            this->dependencies.store->lastUpdateAt(), this->instances(now), now);
 }
 
 std::size_t GossipExchange::instances(Milliseconds now) const
@@ -483,7 +484,7 @@
 void GossipExchange::requestMembers(OperatorCallNumber call, Milliseconds now, Actions& actions)
 {
     this->inForceCalls.push_back({ .call = call, .deadline = now + InForceTimeout });
-    const std::vector<peers::Member> watchers = this->duty.watchers(now);
+    const std::vector<peers::Member> watchers = this->watcherSelection.watchers(now);
     if (this->dependencies.store->isWatching() || watchers.empty())
         return this->answerInForce(this->knownMembers(now), now, actions);
     this->send(addressOf(watchers.front()), this->makeHello(now), actions);
--- a/Source/Node/GossipExchange.h
+++ b/Source/Node/GossipExchange.h
@@ -63,7 +63,7 @@
          */
         Milliseconds newInstanceInterval{ 30 };
         MemberTable::Options members;
-        WatcherSelection::Options duty;
+        WatcherSelection::Options watcherSelection;
         GossipTreeOptions tree;
         PullScheduler::Options pulls;
     };
@@ -82,7 +82,7 @@
 
     void receive(const peers::PeerMessage& message, Milliseconds now, Actions& actions);
     /** Sends a gossip update to all instances, after the store confirmed or changed the local view. */
-    void broadcastNews(Milliseconds now, Actions& actions);
+    void broadcastUpdate(Milliseconds now, Actions& actions);
     /** On the first call with a store view, announces it to the seeds and sends it to instances that have none. */
     void announceFirstView(Milliseconds now, Actions& actions);
     /** Sends what was learned here, such as a leaving notice, to the other instances without delay. */
@@ -97,7 +97,7 @@
     /** True for the leading watcher, which writes the fleet's shared items to the store. */
     bool isLeadingWatcher(Milliseconds now) const
     {
-        return this->dependencies.store->isWatching() && this->duty.isLeader(now);
+        return this->dependencies.store->isWatching() && this->watcherSelection.isLeader(now);
     }
     bool isWatching() const { return this->dependencies.store->isWatching(); }
     /**
@@ -106,10 +106,10 @@
      */
     std::optional<peers::Member> firstOtherWatcher(Milliseconds now) const
     {
-        return this->duty.findHigherRankedWatcher(this->isWatching(), now);
+        return this->watcherSelection.findFirstWatcher(this->isWatching(), now);
     }
     /** A call from this instance to the store failed. */
-    void storeCallFailed() { this->duty.recordFailedCall(); }
+    void storeCallFailed() { this->watcherSelection.recordFailedCall(); }
     /** Other instances that sent a hello to this one recently. */
     const std::vector<KnownMember>& knownInstances() const { return this->members.members(); }
     /** Null when no instance of this name was heard from recently. */
@@ -141,7 +141,7 @@
     void handleMembersPush(const peers::MembersPush& message, Milliseconds now, Actions& actions);
     /** True for an update that is newer than all earlier ones of its origin. */
     bool isNewer(const peers::News& news, Milliseconds now);
-    void handleNews(const peers::PeerMessage& message, Milliseconds now, Actions& actions);
+    void handleUpdate(const peers::PeerMessage& message, Milliseconds now, Actions& actions);
     void handlePush(const peers::PeerMessage& message, Milliseconds now, Actions& actions);
     /** Forwards an update or a push to the receivers that it lists. */
     void relay(const peers::PeerMessage& message, Actions& actions) const;
@@ -162,7 +162,7 @@
     void sendViewToNewInstances(Milliseconds now, Actions& actions);
     Milliseconds nextSearchDelay();
     peers::PeerMessage makeHello(Milliseconds now) const;
-    peers::PeerMessage makeNews(StoreRevision since, Milliseconds now);
+    peers::PeerMessage makeUpdate(StoreRevision since, Milliseconds now);
     void sendHellos(Milliseconds now, Actions& actions);
     void sendHellosToSeeds(Milliseconds now, Actions& actions);
     peers::MembersPush knownMembers(Milliseconds now) const;
@@ -172,7 +172,7 @@
     Dependencies dependencies;
     MemberTable members;
     ContactRegistry contacts;
-    WatcherSelection duty;
+    WatcherSelection watcherSelection;
     PullScheduler pulls;
     std::map<std::string, LastNews> lastNews; // by origin
     std::uint64_t newsNumber = 0;
--- a/Source/Node/LeavingSigns.cpp
+++ b/Source/Node/LeavingSigns.cpp
@@ -8,7 +8,7 @@
 
 LeavingSigns::LeavingSigns(Options givenOptions, NoticeRegistry& givenBook, const ServiceTable& givenServices)
     : options(givenOptions)
-    , book(&givenBook)
+    , registry(&givenBook)
     , services(&givenServices)
 {
 }
@@ -16,7 +16,7 @@
 void LeavingSigns::record(const std::string& backendServer, const Sign& sign, bool isFromServer)
 {
     // Notices are kept also for servers without a record, because the record may be written again.
-    if (!this->book->recordLeaving(backendServer, sign.life, sign.at))
+    if (!this->registry->recordLeaving(backendServer, sign.life, sign.at))
         return;
     const auto server = this->services->backendServer(backendServer);
     if (!server || server->record().life != sign.life)
--- a/Source/Node/LeavingSigns.h
+++ b/Source/Node/LeavingSigns.h
@@ -54,7 +54,7 @@
     void record(const std::string& backendServer, const Sign& sign, bool isFromServer);
 
     Options options;
-    NoticeRegistry* book;
+    NoticeRegistry* registry;
     const ServiceTable* services;
     std::map<std::string, Sign> signs;
     std::vector<LeavingServer> foundServers;
--- a/Source/Node/Node.cpp
+++ b/Source/Node/Node.cpp
@@ -22,21 +22,21 @@
     : options(givenOptions)
     , random(givenOptions.seed)
     , notices({})
-    , limitBook({})
+    , limitRegistry({})
     , services({ .policies = policiesOf(givenOptions),
                    .retries = givenOptions.retries,
                    .notices = &this->notices,
-                   .limits = &this->limitBook },
+                   .limits = &this->limitRegistry },
           this->random)
     , signs({}, this->notices, this->services)
     , pauses({}, { .book = &this->notices, .services = &this->services, .random = &this->random })
     , crashes({ .table = { .instance = givenOptions.name } }, this->decisionCounters)
     , crashRecorder({}, this->storeCalls, this->random)
     , store(readerOf(givenOptions), *this, this->storeCalls, this->random, this->decisionCounters)
-    , news({ .self = memberOf(givenOptions),
-               .seeds = givenOptions.seeds,
-               .duty = { .ownName = givenOptions.name, .ownCapacity = givenOptions.capacity },
-               .tree = { .origin = givenOptions.name, .dataCentre = givenOptions.dataCentre } },
+    , gossip({ .self = memberOf(givenOptions),
+                 .seeds = givenOptions.seeds,
+                 .watcherSelection = { .ownName = givenOptions.name, .ownCapacity = givenOptions.capacity },
+                 .tree = { .origin = givenOptions.name, .dataCentre = givenOptions.dataCentre } },
           { .store = &this->store,
               .signs = &this->signs,
               .crashes = &this->crashes,
@@ -47,21 +47,21 @@
     , quotas({ .self = memberOf(givenOptions), .bound = givenOptions.quotas },
           { .services = &this->services,
               .store = &this->store,
-              .news = &this->news,
+              .gossip = &this->gossip,
               .storeCalls = &this->storeCalls,
               .random = &this->random,
               .counters = &this->decisionCounters })
     , rollouts({ .self = memberOf(givenOptions).incarnation() },
           { .services = &this->services,
               .store = &this->store,
-              .news = &this->news,
+              .gossip = &this->gossip,
               .translator = givenOptions.translator.get(),
               .storeCalls = &this->storeCalls,
               .random = &this->random })
     , limits({ .self = memberOf(givenOptions) },
-          { .book = &this->limitBook,
+          { .book = &this->limitRegistry,
               .services = &this->services,
-              .news = &this->news,
+              .gossip = &this->gossip,
               .random = &this->random,
               .counters = &this->decisionCounters })
     , probes({ .fleetPerSecond = givenOptions.probesPerSecond, .dataCentre = givenOptions.dataCentre }, this->random)
@@ -88,7 +88,7 @@
     this->shareCrashes(now, actions);
     if (now >= this->rollouts.nextReportAt()) {
         this->rollouts.reportSent();
-        this->news.notifyWatchers(now, actions);
+        this->gossip.notifyWatchers(now, actions);
     }
     for (AnswerChange& answer : this->pendingChangeAnswers)
         actions.emplace_back(std::move(answer));
@@ -179,7 +179,7 @@
         actions.emplace_back(StopSendingTo{ .backendServer = server.backendServer });
     }
     if (hasOwnNotice || this->store.isWatching())
-        this->news.notifyOthers(now, actions);
+        this->gossip.notifyOthers(now, actions);
     // Requests that wait for one of these servers need another server or must be refused.
     this->flow.capacityChanged(now, actions);
 }
@@ -188,7 +188,7 @@
 {
     if (now >= this->limits.nextReportAt()) {
         this->limits.reportSent();
-        this->news.notifyOthers(now, actions);
+        this->gossip.notifyOthers(now, actions);
     }
     if (this->limits.takeChanged())
         this->flow.capacityChanged(now, actions);
@@ -202,7 +202,7 @@
         this->quotas.receive(event.message, now, actions);
         return this->flow.creditDecided(now, actions);
     }
-    this->news.receive(event.message, now, actions);
+    this->gossip.receive(event.message, now, actions);
     this->callStore(now, actions);
 }
 
@@ -223,10 +223,10 @@
         || this->rollouts.answered(event.answer, now);
     if (!isForWriters && this->store.answered(this->withoutSecrets(event.answer), now, actions)
         && this->store.isWatching())
-        this->news.broadcastNews(now, actions);
+        this->gossip.broadcastUpdate(now, actions);
     if (this->store.hasFailed())
-        this->news.storeCallFailed();
-    this->news.announceFirstView(now, actions);
+        this->gossip.storeCallFailed();
+    this->gossip.announceFirstView(now, actions);
     if (const auto written = this->changes.takeWritten())
         this->store.applyWritten(*written, now, actions);
     if (const auto written = this->crashRecorder.takeWritten())
@@ -240,7 +240,7 @@
 
 void Node::dispatch(const SeedsChanged& event, Milliseconds, Actions&)
 {
-    this->news.setSeeds(event.seeds);
+    this->gossip.setSeeds(event.seeds);
 }
 
 void Node::dispatch(const ChangeAsked& event, Milliseconds now, Actions& actions)
@@ -251,7 +251,7 @@
 
 void Node::dispatch(const InForceAsked& event, Milliseconds now, Actions& actions)
 {
-    this->news.requestMembers(event.call, now, actions);
+    this->gossip.requestMembers(event.call, now, actions);
 }
 
 void Node::dispatch(const StopAsked&, Milliseconds now, Actions& actions)
@@ -268,11 +268,11 @@
 
 void Node::dispatch(const ControlTimer&, Milliseconds now, Actions& actions)
 {
-    this->news.tick(now, actions);
+    this->gossip.tick(now, actions);
     this->crashes.tick(now);
     for (const BackendServerChange& change : this->services.removeExpiredLapses(now))
         actions.emplace_back(this->handleBackendServerChange(change, now, actions).with("heard_from", "nobody"));
-    const std::size_t members = this->news.instances(now);
+    const std::size_t members = this->gossip.instances(now);
     this->fleetSize.counted(members, now);
     this->services.setInstances({ .known = members, .atLeast = this->fleetSize.atLeast(now) });
     this->quotas.setInstances(this->fleetSize.atLeast(now));
@@ -284,7 +284,7 @@
 
 void Node::callStore(Milliseconds now, Actions& actions)
 {
-    this->store.callIfDue(this->news.shouldWatch(now), now, actions);
+    this->store.callIfDue(this->gossip.shouldWatch(now), now, actions);
     while (auto request = this->changes.next(now))
         actions.emplace_back(CallStore{ .request = std::move(*request) });
     if (auto request = this->quotas.nextStoreCall(this->stopping, now))
@@ -299,15 +299,15 @@
     this->crashes.startSecondChecks(now, actions);
     if (now >= this->crashes.nextReportAt()) {
         this->crashes.reportSent(now);
-        this->news.notifyOthers(now, actions);
+        this->gossip.notifyOthers(now, actions);
     }
     if (this->crashes.takeStoreRecordChanged())
         this->crashRecorder.scheduleCheck(now);
     // Until the store was first read, its current value of this item is unknown and must not be overwritten.
     if (!this->crashRecorder.isDue(now) || !this->store.view().revision())
         return;
-    auto request = this->crashRecorder.nextWrite(
-        this->crashes.makeStoreRecord(now), this->store.view().find(CrashesKey), this->news.isLeadingWatcher(now), now);
+    auto request = this->crashRecorder.nextWrite(this->crashes.makeStoreRecord(now),
+        this->store.view().find(CrashesKey), this->gossip.isLeadingWatcher(now), now);
     if (request)
         actions.emplace_back(CallStore{ .request = std::move(*request) });
 }
@@ -347,7 +347,7 @@
 
 Milliseconds Node::nextControlDue() const
 {
-    Milliseconds due = std::min({ this->news.nextDue(), this->changes.nextDue(), this->services.nextLapseExpiry(),
+    Milliseconds due = std::min({ this->gossip.nextDue(), this->changes.nextDue(), this->services.nextLapseExpiry(),
         this->crashes.nextDue(), this->crashRecorder.nextDue(), this->quotas.nextControlDue(), this->rollouts.nextDue(),
         this->limits.nextReportAt() });
     if (this->store.isWatching() || !this->store.view().revision())
--- a/Source/Node/Node.h
+++ b/Source/Node/Node.h
@@ -74,7 +74,7 @@
     bool isStopping() const { return this->stopping; }
     bool isWatching() const { return this->store.isWatching(); }
     std::size_t openRequests() const { return this->flow.openRequests(); }
-    std::size_t instances(Milliseconds now) const { return this->news.instances(now); }
+    std::size_t instances(Milliseconds now) const { return this->gossip.instances(now); }
     const DecisionCounters& counters() const { return this->decisionCounters; }
     const ServiceTable& serviceTable() const { return this->services; }
     StoreRevision storeRevision() const { return this->store.view().revision(); }
@@ -95,7 +95,10 @@
     /** Whether, and under which rules, this instance grants credit for customers' requests. */
     GrantMode grantMode(Milliseconds now) const { return this->quotas.mode(now); }
     /** True when this instance grants the permits for requests to backend servers that have a request limit. */
-    bool grantsPermits(Milliseconds now) const { return this->news.isWatching() && !this->news.firstOtherWatcher(now); }
+    bool grantsPermits(Milliseconds now) const
+    {
+        return this->gossip.isWatching() && !this->gossip.firstOtherWatcher(now);
+    }
     /** Number of requests during which backend servers crashed. */
     std::size_t crashingRequestCount() const { return this->crashes.size(); }
 
@@ -148,14 +151,14 @@
     DecisionCounters decisionCounters;
     StoreCallNumbers storeCalls;
     NoticeRegistry notices;
-    LimitRegistry limitBook;
+    LimitRegistry limitRegistry;
     ServiceTable services;
     LeavingSigns signs;
     ServerPauses pauses;
     CrashingRequestDetector crashes;
     CrashRecorder crashRecorder;
     StoreSynchronizer store;
-    GossipExchange news;
+    GossipExchange gossip;
     QuotaManager quotas;
     RolloutManager rollouts;
     ServerRateLimiter limits;
--- a/Source/Node/QuotaManager.cpp
+++ b/Source/Node/QuotaManager.cpp
@@ -20,15 +20,15 @@
 QuotaManager::QuotaManager(const Options& givenOptions, Dependencies givenParts)
     : options(givenOptions)
     , dependencies(givenParts)
-    , desk({ .bound = givenOptions.bound }, *givenParts.random)
-    , grants(givenOptions.bound)
-    , tenure({ .self = givenOptions.self }, *givenParts.storeCalls, *givenParts.random)
+    , creditManager({ .bound = givenOptions.bound }, *givenParts.random)
+    , creditIssuer(givenOptions.bound)
+    , grantorLease({ .self = givenOptions.self }, *givenParts.storeCalls, *givenParts.random)
 {
 }
 
 GrantMode QuotaManager::mode(Milliseconds now) const
 {
-    return this->tenure.mode(now);
+    return this->grantorLease.mode(now);
 }
 
 v1::ShowCustomerAnswer QuotaManager::show(const std::string& customer, Milliseconds now) const
@@ -45,9 +45,9 @@
     answer.set_keys(static_cast<std::uint32_t>(found->keys.size()));
     answer.set_requests_per_second(found->limit.requestsPerSecond);
     answer.set_burst(found->limit.burst);
-    if (const auto holder = this->tenure.holder())
+    if (const auto holder = this->grantorLease.holder())
         answer.set_granted_by(holder->incarnation().name());
-    answer.set_granted(static_cast<std::uint32_t>(this->grants.granted(found->name, now)));
+    answer.set_granted(static_cast<std::uint32_t>(this->creditIssuer.granted(found->name, now)));
     return answer;
 }
 
@@ -62,7 +62,7 @@
     const Customer* customer = this->customerOf(request);
     if (!customer)
         return { .outcome = CreditDecision::Outcome::Granted, .grantedAt = now, .retryAfter = {} };
-    const CreditDecision decision = this->desk.request(request.number, *customer, now);
+    const CreditDecision decision = this->creditManager.request(request.number, *customer, now);
     if (decision.outcome == CreditDecision::Outcome::Granted)
         request.creditGrantedAt = decision.grantedAt;
     return decision;
@@ -76,7 +76,7 @@
     const Customer* customer = this->customerOf(request);
     if (!customer)
         return true;
-    request.creditGrantedAt = this->desk.takeLocal(*customer, now);
+    request.creditGrantedAt = this->creditManager.takeLocal(*customer, now);
     if (!request.creditGrantedAt && this->grantLocally(*customer, 1, now).amount)
         request.creditGrantedAt = now;
     return request.creditGrantedAt.has_value();
@@ -85,9 +85,9 @@
 void QuotaManager::requestEnded(const RequestState& request, Milliseconds now)
 {
     if (request.phase == RequestPhase::AwaitingCredit)
-        this->desk.forget(request.number, request.identity.customer);
+        this->creditManager.forget(request.number, request.identity.customer);
     else if (request.creditGrantedAt && !request.history.mayHaveRun)
-        this->desk.giveBack(request.identity.customer, *request.creditGrantedAt, now);
+        this->creditManager.giveBack(request.identity.customer, *request.creditGrantedAt, now);
 }
 
 void QuotaManager::addSettled(std::vector<CreditManager::DecidedRequest> more)
@@ -102,28 +102,29 @@
 
 CreditGrant QuotaManager::grantLocally(const Customer& customer, unsigned requests, Milliseconds now)
 {
-    const CreditGrant grant = this->grants.grant(customer, requests, this->mode(now), now);
+    const CreditGrant grant = this->creditIssuer.grant(customer, requests, this->mode(now), now);
     this->dependencies.counters->add(DecisionCount::CreditsGranted, grant.amount);
     return grant;
 }
 
 void QuotaManager::askForCredit(Milliseconds now, Actions& actions)
 {
-    const std::vector<CreditManager::Query> asks = this->desk.takeQueries(now);
+    const std::vector<CreditManager::Query> asks = this->creditManager.takeQueries(now);
     if (asks.empty())
         return;
-    const auto holder = this->tenure.holder();
+    const auto holder = this->grantorLease.holder();
     const bool isHere = this->mode(now) != GrantMode::None;
     if (!isHere && (!holder || holder->incarnation().name() == this->options.self.incarnation().name()))
-        return this->addSettled(this->desk.refuseAllWaiting(now));
+        return this->addSettled(this->creditManager.refuseAllWaiting(now));
     for (const CreditManager::Query& ask : asks) {
         this->dependencies.counters->add(DecisionCount::CreditsAsked, ask.requests);
         const Customer* customer = this->dependencies.services->customers().byName(ask.customer);
         if (isHere && customer) {
-            this->addSettled(this->desk.answered({ .number = ask.number,
-                                                     .customer = ask.customer,
-                                                     .grant = this->grantLocally(*customer, ask.requests, now) },
-                now));
+            this->addSettled(
+                this->creditManager.answered({ .number = ask.number,
+                                                 .customer = ask.customer,
+                                                 .grant = this->grantLocally(*customer, ask.requests, now) },
+                    now));
             continue;
         }
         if (!holder)
@@ -167,30 +168,31 @@
         return this->handleAsk(message.credit_ask(), now, actions);
     const peers::CreditAnswer& answer = message.credit_answer();
     const Milliseconds wait{ static_cast<double>(answer.wait_milliseconds()) };
-    this->addSettled(this->desk.answered({ .number = answer.number(),
-                                             .customer = answer.customer(),
-                                             .grant = { .amount = answer.requests(), .wait = wait },
-                                             .isGranting = !answer.not_granting() },
+    this->addSettled(this->creditManager.answered({ .number = answer.number(),
+                                                      .customer = answer.customer(),
+                                                      .grant = { .amount = answer.requests(), .wait = wait },
+                                                      .isGranting = !answer.not_granting() },
         now));
 }
 
 std::optional<StoreRequest> QuotaManager::nextStoreCall(bool isStopping, Milliseconds now)
 {
-    const auto heard = [this](const std::string& name) -> std::optional<CreditGrantorLease::Heard> {
-        const KnownMember* known = this->dependencies.news->findMember(name);
+    const auto heard = [this](const std::string& name) -> std::optional<CreditGrantorLease::LastMessage> {
+        const KnownMember* known = this->dependencies.gossip->findMember(name);
         if (!known)
             return std::nullopt;
-        return CreditGrantorLease::Heard{ .member = known->member, .at = known->heardAt };
+        return CreditGrantorLease::LastMessage{ .member = known->member, .at = known->heardAt };
     };
-    auto call = this->tenure.next({ .stored = this->dependencies.store->view().find(GrantorKey),
-                                      .leads = this->dependencies.news->isLeadingWatcher(now),
+    auto call
+        = this->grantorLease.next({ .stored = this->dependencies.store->view().find(GrantorKey),
+                                      .leads = this->dependencies.gossip->isLeadingWatcher(now),
                                       .isWatching = this->dependencies.store->isWatching(),
                                       .isNeeded = this->dependencies.services->hasLimitedCustomers() && !isStopping,
-                                      .isSilent = this->desk.isGrantorUnresponsive(now),
-                                      .heard = heard },
-        now);
-    if (const auto begun = this->tenure.takeBegun())
-        this->grants.begin(this->tenure.isFirst(), *begun);
+                                      .isGrantorUnresponsive = this->creditManager.isGrantorUnresponsive(now),
+                                      .findLastMessage = heard },
+            now);
+    if (const auto begun = this->grantorLease.takeBegun())
+        this->creditIssuer.begin(this->grantorLease.isFirst(), *begun);
     return call;
 }
 
--- a/Source/Node/QuotaManager.h
+++ b/Source/Node/QuotaManager.h
@@ -40,7 +40,7 @@
     struct Dependencies {
         const ServiceTable* services = nullptr;
         const StoreSynchronizer* store = nullptr;
-        const GossipExchange* news = nullptr;
+        const GossipExchange* gossip = nullptr;
         StoreCallNumbers* storeCalls = nullptr;
         Random* random = nullptr;
         DecisionCounters* counters = nullptr;
@@ -60,16 +60,16 @@
     std::vector<CreditManager::DecidedRequest> takeSettled() { return std::exchange(this->settled, {}); }
 
     void receive(const peers::PeerMessage& message, Milliseconds now, Actions& actions);
-    void tick(Milliseconds now) { this->addSettled(this->desk.tick(now)); }
-    Milliseconds nextDue() const { return this->desk.nextDue(); }
+    void tick(Milliseconds now) { this->addSettled(this->creditManager.tick(now)); }
+    Milliseconds nextDue() const { return this->creditManager.nextDue(); }
 
     /** Sets the minimum size of the fleet; empty while it is not known. */
-    void setInstances(std::optional<std::size_t> count) { this->desk.setInstances(count); }
+    void setInstances(std::optional<std::size_t> count) { this->creditManager.setInstances(count); }
     /** The store call that claims or releases the grantor role for this instance, if one is needed. */
     std::optional<StoreRequest> nextStoreCall(bool isStopping, Milliseconds now);
-    bool answered(const StoreAnswer& answer, Milliseconds now) { return this->tenure.answered(answer, now); }
-    std::optional<StoreItem> takeWritten() { return this->tenure.takeWritten(); }
-    Milliseconds nextControlDue() const { return this->tenure.nextDue(); }
+    bool answered(const StoreAnswer& answer, Milliseconds now) { return this->grantorLease.answered(answer, now); }
+    std::optional<StoreItem> takeWritten() { return this->grantorLease.takeWritten(); }
+    Milliseconds nextControlDue() const { return this->grantorLease.nextDue(); }
 
     GrantMode mode(Milliseconds now) const;
     v1::ShowCustomerAnswer show(const std::string& customer, Milliseconds now) const;
@@ -83,9 +83,9 @@
 
     Options options;
     Dependencies dependencies;
-    CreditManager desk;
-    CreditIssuer grants;
-    CreditGrantorLease tenure;
+    CreditManager creditManager;
+    CreditIssuer creditIssuer;
+    CreditGrantorLease grantorLease;
     std::vector<CreditManager::DecidedRequest> settled;
 };
 
--- a/Source/Node/RequestFlow.cpp
+++ b/Source/Node/RequestFlow.cpp
@@ -276,7 +276,7 @@
         .address = server->record().address,
         .timeLeft = request.deadline - now,
         .mayRepeat = request.route->repeat == Repeat::MayRepeat,
-        .withholdsKey = request.identity.isKeyKept,
+        .withholdsKey = request.identity.withholdsKey,
         .customer = request.identity.customer });
     request.tried.push_back(server);
     request.flights.push_back({ .attempt = attempt,
--- a/Source/Node/RolloutManager.cpp
+++ b/Source/Node/RolloutManager.cpp
@@ -285,7 +285,7 @@
 {
     if (this->inFlightAtOldVersion(rollout, service))
         return false;
-    const auto& members = this->dependencies.news->knownInstances();
+    const auto& members = this->dependencies.gossip->knownInstances();
     return std::all_of(members.begin(), members.end(), [&](const KnownMember& known) {
         if (now - known.heardAt > this->options.silentAfter)
             return true;
@@ -341,7 +341,7 @@
     if (this->pending || now < this->nextEvaluationAt)
         return std::nullopt;
     this->nextEvaluationAt = now + this->options.evaluationInterval;
-    if (!this->dependencies.news->isLeadingWatcher(now))
+    if (!this->dependencies.gossip->isLeadingWatcher(now))
         return std::nullopt;
     for (auto& [service, rollout] : this->rollouts) {
         if (!rollout.isOrdered())
--- a/Source/Node/RolloutManager.h
+++ b/Source/Node/RolloutManager.h
@@ -45,7 +45,7 @@
     struct Dependencies {
         ServiceTable* services = nullptr;
         const StoreSynchronizer* store = nullptr;
-        const GossipExchange* news = nullptr;
+        const GossipExchange* gossip = nullptr;
         const StoreItemTranslator* translator = nullptr;
         StoreCallNumbers* storeCalls = nullptr;
         Random* random = nullptr;
--- a/Source/Node/ServerChooser.cpp
+++ b/Source/Node/ServerChooser.cpp
@@ -46,11 +46,11 @@
         .wantsTarget = request.wantsTarget && request.tried.empty() };
 }
 
-SelectionCriteria ServerChooser::wishOf(const RequestState& request, Milliseconds now) const
+SelectionCriteria ServerChooser::criteriaOf(const RequestState& request, Milliseconds now) const
 {
     return { .tried = request.tried,
         .mayUseTrialServers = request.route->repeat == Repeat::MayRepeat,
-        .maxWorkFactor = this->search.longestWork(request.search, now),
+        .maxWorkFactor = this->search.maxWorkFactor(request.search, now),
         .slotShare = request.isLate ? LateLimitShare : 1 };
 }
 
@@ -83,7 +83,7 @@
 {
     const RoutingContext context = this->contextOf(request, now);
     ServicePool& pool = request.service->pool;
-    SelectionCriteria wish = this->wishOf(request, now);
+    SelectionCriteria wish = this->criteriaOf(request, now);
     wish.onlyWithRecentReport = this->options.probes && this->search.mayStartRound(request.search, now);
     ServerChoice choice = pool.choose(wish, context, *this->dependencies.random);
     const bool mayFindBetter = choice.reason == NoServerReason::Slow || choice.reason == NoServerReason::NoRecentReport;
@@ -108,7 +108,7 @@
 ServerChoice ServerChooser::chooseForRetry(const RequestState& request, Milliseconds now) const
 {
     return request.service->pool.choose(
-        this->wishOf(request, now), this->contextOf(request, now), *this->dependencies.random);
+        this->criteriaOf(request, now), this->contextOf(request, now), *this->dependencies.random);
 }
 
 ServerChoice ServerChooser::chooseForHedge(const RequestState& request, Milliseconds now) const
@@ -116,7 +116,7 @@
     return request.service->pool.choose({ .tried = request.tried,
                                             .onlyUntried = true,
                                             .mayUseTrialServers = false,
-                                            .maxWorkFactor = ServerSearch::longestWorkInTime(request.search, now),
+                                            .maxWorkFactor = ServerSearch::maxWorkFactorInTime(request.search, now),
                                             .slotShare = HedgeLimitShare },
         this->contextOf(request, now), *this->dependencies.random);
 }
--- a/Source/Node/ServerChooser.h
+++ b/Source/Node/ServerChooser.h
@@ -42,7 +42,7 @@
 
 private:
     RoutingContext contextOf(const RequestState& request, Milliseconds now) const;
-    SelectionCriteria wishOf(const RequestState& request, Milliseconds now) const;
+    SelectionCriteria criteriaOf(const RequestState& request, Milliseconds now) const;
     bool probeServers(RequestState& request, Milliseconds now, Actions& actions) const;
     /** Keeps the request waiting for a better server; true while probe answers are awaited. */
     bool waitForBetterServer(RequestState& request, Milliseconds now, Actions& actions) const;
--- a/Source/Node/ServerRateLimiter.cpp
+++ b/Source/Node/ServerRateLimiter.cpp
@@ -88,7 +88,7 @@
         return;
     this->changed = true;
     // A report from one peer is forwarded only by instances that watch the store; their updates go to all instances.
-    if (origin == Origin::Answer || (origin == Origin::Peer && this->dependencies.news->isWatching()))
+    if (origin == Origin::Answer || (origin == Origin::Peer && this->dependencies.gossip->isWatching()))
         this->scheduleReport(backendServer, now);
     DecisionRecord record = knowledgeRecord(statement->perSecond ? "limit_named" : "limit_ended", backendServer)
                                 .with("heard_from", origin == Origin::Answer ? "server" : "news");
@@ -147,7 +147,7 @@
         return false;
     const bool hadTimedOut = server.permits().hasRequestTimedOut(now);
     server.permits().requestCompleted();
-    const auto granting = this->dependencies.news->firstOtherWatcher(now);
+    const auto granting = this->dependencies.gossip->firstOtherWatcher(now);
     if (this->mayGrant(now)) {
         this->applyGrant(server,
             this->grant({ .backendServer = server.id(),
@@ -185,20 +185,20 @@
         const double all = static_cast<double>(std::max<std::size_t>(*this->instances, 1));
         const LocalBudgetShare::Rate part{ .perSecond = *limit * this->options.dealtShare / all,
             .window = this->options.dealtWindow };
-        if (this->dealt.take(server.id(), part, *this->dependencies.random, now))
+        if (this->localBudget.take(server.id(), part, *this->dependencies.random, now))
             return server.permits().add({ .from = now, .until = now + PermitLife });
     }
     server.permits().denied(now + this->options.pauseAfterTimeout);
 }
 
-PermitSchedule::Grant ServerRateLimiter::grant(const PermitSchedule::Wish& wish, Milliseconds now)
+PermitSchedule::Grant ServerRateLimiter::grant(const PermitSchedule::PermitRequest& wish, Milliseconds now)
 {
     // After a network partition, each side grants the share of the limit that corresponds to its size.
-    const auto known = static_cast<double>(this->dependencies.news->knownInstances().size() + 1);
+    const auto known = static_cast<double>(this->dependencies.gossip->knownInstances().size() + 1);
     const double share = this->instances
         ? std::min(1.0, known / static_cast<double>(std::max<std::size_t>(*this->instances, 1)))
         : this->options.unknownFleetShare;
-    PermitSchedule::Wish granted = wish;
+    PermitSchedule::PermitRequest granted = wish;
     granted.perSecond = wish.perSecond * share;
     const PermitSchedule::Grant grant = this->schedule.grant(granted, now);
     if (grant.isGranted)
@@ -319,7 +319,7 @@
 
 bool ServerRateLimiter::mayGrant(Milliseconds now)
 {
-    const bool isFirst = this->dependencies.news->isWatching() && !this->dependencies.news->firstOtherWatcher(now);
+    const bool isFirst = this->dependencies.gossip->isWatching() && !this->dependencies.gossip->firstOtherWatcher(now);
     if (!isFirst)
         this->grantsFrom = Never;
     else if (this->grantsFrom == Never)
--- a/Source/Node/ServerRateLimiter.h
+++ b/Source/Node/ServerRateLimiter.h
@@ -61,7 +61,7 @@
     struct Dependencies {
         LimitRegistry* book = nullptr;
         const ServiceTable* services = nullptr;
-        const GossipExchange* news = nullptr;
+        const GossipExchange* gossip = nullptr;
         Random* random = nullptr;
         DecisionCounters* counters = nullptr;
     };
@@ -119,7 +119,7 @@
         Milliseconds patience, Milliseconds now, Actions& actions);
     /** Takes a permit from this instance's share of the limit, without asking the granting instance. */
     void takeSharedPermit(BackendServerState& server, Milliseconds now);
-    PermitSchedule::Grant grant(const PermitSchedule::Wish& wish, Milliseconds now);
+    PermitSchedule::Grant grant(const PermitSchedule::PermitRequest& wish, Milliseconds now);
     void applyGrant(BackendServerState& server, const PermitSchedule::Grant& grant, Milliseconds now) const;
     /** True when this instance is the granting one and its take-over delay has passed. */
     bool mayGrant(Milliseconds now);
@@ -132,7 +132,7 @@
     Options options;
     Dependencies dependencies;
     PermitSchedule schedule;
-    LocalBudgetShare dealt;
+    LocalBudgetShare localBudget;
     std::optional<std::size_t> instances; // lower bound of the fleet's size
     Milliseconds grantsFrom = Never; // Never: another instance grants
     std::uint64_t lastAsk = 0;
--- a/Source/Node/ServiceState.cpp
+++ b/Source/Node/ServiceState.cpp
@@ -55,7 +55,7 @@
 
 Milliseconds ServiceState::estimateTimeSpent(const Route& route, Milliseconds timeLeft)
 {
-    return this->callerPatience[route.name].spentBefore(timeLeft);
+    return this->callerPatience[route.name].estimateTimeSpent(timeLeft);
 }
 
 void ServiceState::addResponseTime(const Route& route, Milliseconds took)
--- a/Source/Node/StoreSynchronizer.cpp
+++ b/Source/Node/StoreSynchronizer.cpp
@@ -113,7 +113,7 @@
     return items;
 }
 
-bool StoreSynchronizer::applyNews(const peers::News& news, Milliseconds now, Actions& actions)
+bool StoreSynchronizer::applyUpdate(const peers::News& news, Milliseconds now, Actions& actions)
 {
     if (news.store_revision() > this->storeView.revision()) {
         const bool isGapless = news.base_revision() && news.base_revision() <= this->storeView.revision();
@@ -227,7 +227,7 @@
     push.set_plain_bytes(static_cast<std::uint32_t>(plain.size()));
 }
 
-peers::Push StoreSynchronizer::pushAfterNews(const peers::News& news)
+peers::Push StoreSynchronizer::pushAfterUpdate(const peers::News& news)
 {
     peers::Pull since;
     since.set_store_revision(news.base_revision());
@@ -236,7 +236,7 @@
     return push;
 }
 
-void StoreSynchronizer::fillNews(peers::News& news, StoreRevision since, Milliseconds now)
+void StoreSynchronizer::fillUpdate(peers::News& news, StoreRevision since, Milliseconds now)
 {
     news.set_store_revision(this->storeView.revision());
     news.set_is_confirmed(this->lastConfirmedAt != LongAgo);
--- a/Source/Node/StoreSynchronizer.h
+++ b/Source/Node/StoreSynchronizer.h
@@ -40,7 +40,7 @@
     bool answered(const StoreAnswer& answer, Milliseconds now, Actions& actions);
 
     /** Applies a gossip update; false when other changes up to its revision are missing and must be pulled. */
-    bool applyNews(const peers::News& news, Milliseconds now, Actions& actions);
+    bool applyUpdate(const peers::News& news, Milliseconds now, Actions& actions);
     /** Applies an item that this instance just wrote. Changes of other items up to its revision may be missing. */
     void applyWritten(const StoreItem& item, Milliseconds now, Actions& actions);
     /** Applies a push; false when the push, or a value in it, could not be unpacked. */
@@ -55,9 +55,9 @@
      * are no longer known. Changes that are large even when packed are left out,
      * and the update announces that they follow in a push.
      */
-    void fillNews(peers::News& news, StoreRevision since, Milliseconds now);
+    void fillUpdate(peers::News& news, StoreRevision since, Milliseconds now);
     /** The push that follows an update that left out large changes. */
-    peers::Push pushAfterNews(const peers::News& news);
+    peers::Push pushAfterUpdate(const peers::News& news);
 
     const StoreView& view() const { return this->storeView; }
     /** The latest time at which the view is known to have been current. */
--- a/Source/Program/TrafficThread.cpp
+++ b/Source/Program/TrafficThread.cpp
@@ -31,7 +31,7 @@
     , work(asio::make_work_guard(this->context))
     , timer(this->context)
     , tending(this->context)
-    , desk(this->context, deskOptions(settings),
+    , forwarder(this->context, deskOptions(settings),
           { .dialect = givenParts.dialect,
               .clock = givenParts.clock,
               .sink = givenParts.sink,
@@ -48,7 +48,7 @@
 
 std::error_code TrafficThread::start()
 {
-    if (const auto error = this->desk.start())
+    if (const auto error = this->forwarder.start())
         return error;
     if (this->readinessAddress.port) {
         if (const auto error = this->readiness.listen(this->readinessAddress))
@@ -93,7 +93,7 @@
     this->tending.async_wait([this](const asio::error_code& error) {
         if (error)
             return;
-        this->desk.runMaintenance();
+        this->forwarder.runMaintenance();
         this->readiness.tend();
         this->scheduleTending();
     });
--- a/Source/Program/TrafficThread.h
+++ b/Source/Program/TrafficThread.h
@@ -37,7 +37,7 @@
 
     /** Runs the task on this thread; immediately when called from it. */
     void run(std::function<void()> task);
-    RequestForwarder& requestDesk() { return this->desk; }
+    RequestForwarder& requestDesk() { return this->forwarder; }
     ReadinessPages& readinessPages() { return this->readiness; }
     /** Posts a RequestTimer event at this time. Call it on this thread only. */
     void wakeAt(Milliseconds due);
@@ -51,7 +51,7 @@
     asio::executor_work_guard<asio::io_context::executor_type> work;
     Timer timer;
     Timer tending;
-    RequestForwarder desk;
+    RequestForwarder forwarder;
     ReadinessPages readiness;
     Milliseconds wakesAt = Never;
     std::thread thread;
--- a/Source/Quotas/CreditGrantorLease.cpp
+++ b/Source/Quotas/CreditGrantorLease.cpp
@@ -112,12 +112,12 @@
 CreditGrantorLease::Predecessor CreditGrantorLease::evaluateOtherInstance(const Inputs& inputs, Milliseconds now) const
 {
     const peers::Member& member = this->holderRecord->member();
-    const auto heard = inputs.heard(member.incarnation().name());
+    const auto heard = inputs.findLastMessage(member.incarnation().name());
     const bool isLaterLife = heard && heard->member.incarnation().number() > member.incarnation().number()
         && isSameAddress(heard->member, member);
     if (isLaterLife)
         return Predecessor::Gone;
-    const bool isAlive = heard && now - heard->at < this->options.lostAfter && !inputs.isSilent;
+    const bool isAlive = heard && now - heard->at < this->options.lostAfter && !inputs.isGrantorUnresponsive;
     // An instance that has only just started to watch has not received messages from all others yet, and an instance
     // that is not the leading watcher receives them from few.
     const Milliseconds since = std::max(this->holderSince, this->watchingSince);
--- a/Source/Quotas/CreditGrantorLease.h
+++ b/Source/Quotas/CreditGrantorLease.h
@@ -53,7 +53,7 @@
     };
 
     /** The last message of another instance about itself. */
-    struct Heard {
+    struct LastMessage {
         peers::Member member;
         Milliseconds at = LongAgo;
     };
@@ -64,8 +64,8 @@
         bool leads = false; // this instance is the leading watcher
         bool isWatching = false; // this instance watches the store
         bool isNeeded = true; // there are customers with a limit, and this instance is not about to stop
-        bool isSilent = false; // the granting instance has just failed to answer a query
-        std::function<std::optional<Heard>(const std::string& name)> heard;
+        bool isGrantorUnresponsive = false; // the granting instance has just failed to answer a query
+        std::function<std::optional<LastMessage>(const std::string& name)> findLastMessage;
     };
 
     CreditGrantorLease(Options options, StoreCallNumbers& numbers, Random& random);
--- a/Source/StoreClient/HttpStoreClient.cpp
+++ b/Source/StoreClient/HttpStoreClient.cpp
@@ -20,7 +20,7 @@
     const StoreProtocol& givenWire, const Clock& givenClock, EventSink& givenSink)
     : context(&givenContext)
     , address(givenAddress)
-    , wire(&givenWire)
+    , protocol(&givenWire)
     , sink(&givenSink)
     , connections({}, givenClock)
 {
@@ -28,7 +28,7 @@
 
 void HttpStoreClient::startCall(const StoreRequest& request)
 {
-    HttpRequest message = this->wire->encode(request);
+    HttpRequest message = this->protocol->encode(request);
     message.set(boost::beast::http::field::host, this->address.text());
     HttpExchange::Options options;
     options.address = this->address;
@@ -50,7 +50,7 @@
     answer.number = request.number;
     answer.status = statusOf(end.result);
     if (end.response)
-        answer = this->wire->decode(request, *end.response);
+        answer = this->protocol->decode(request, *end.response);
     // After a refusal the connection is not reused: the next call may reach a store that accepts it.
     if (end.connection && answer.status != StoreStatus::Unknown && answer.status != StoreStatus::Refused)
         this->connections.add(PoolKey, std::move(end.connection));
--- a/Source/StoreClient/HttpStoreClient.h
+++ b/Source/StoreClient/HttpStoreClient.h
@@ -41,7 +41,7 @@
 
     asio::io_context* context;
     NetworkAddress address;
-    const StoreProtocol* wire;
+    const StoreProtocol* protocol;
     EventSink* sink;
     HttpConnectionPool connections;
     std::unordered_map<StoreCallNumber, std::shared_ptr<HttpExchange>> callsInFlight;
--- a/Tests/Admission/CallerWaitEstimatorTest.cpp
+++ b/Tests/Admission/CallerWaitEstimatorTest.cpp
@@ -44,17 +44,17 @@
 
 TEST(CallerWaitEstimator, TheLongestTimeSeenIsThatOfAFirstTry)
 {
-    DOUBLES_EQUAL(0, this->patience.spentBefore({ 3000 }).count, 1);
-    DOUBLES_EQUAL(0, this->patience.spentBefore({ 4000 }).count, 1);
-    DOUBLES_EQUAL(800, this->patience.spentBefore({ 3200 }).count, 10);
-    DOUBLES_EQUAL(0, this->patience.spentBefore({ 4000 }).count, 1);
+    DOUBLES_EQUAL(0, this->patience.estimateTimeSpent({ 3000 }).count, 1);
+    DOUBLES_EQUAL(0, this->patience.estimateTimeSpent({ 4000 }).count, 1);
+    DOUBLES_EQUAL(800, this->patience.estimateTimeSpent({ 3200 }).count, 10);
+    DOUBLES_EQUAL(0, this->patience.estimateTimeSpent({ 4000 }).count, 1);
 }
 
 TEST(CallerWaitEstimator, APatientCallerDoesNotCountForLong)
 {
-    this->patience.spentBefore({ 60000 });
+    this->patience.estimateTimeSpent({ 60000 });
     Milliseconds spent;
     for (int caller = 0; caller < 2000; ++caller)
-        spent = this->patience.spentBefore({ 4000 });
+        spent = this->patience.estimateTimeSpent({ 4000 });
     CHECK(spent < Milliseconds{ 100 });
 }
--- a/Tests/Measurement/ServerSearchTest.cpp
+++ b/Tests/Measurement/ServerSearchTest.cpp
@@ -79,7 +79,7 @@
         const Milliseconds now = Arrival + item.waited;
         pool->find("s1")->updateLoad({ .slots = 2, .workPercent = item.workPercent }, now - item.toldBefore);
         const ServerSearchState request = this->begin(item.spent);
-        const ServerChoice choice = pool->choose({ .maxWorkFactor = this->search.longestWork(request, now) },
+        const ServerChoice choice = pool->choose({ .maxWorkFactor = this->search.maxWorkFactor(request, now) },
             { .now = now, .dataCentre = "dc-1", .expected = UsualTime }, this->random);
         CHECK_TEXT((choice.server != nullptr) == item.isSent, item.name);
         CHECK_TEXT(item.isSent || choice.reason == NoServerReason::Slow, item.name);
--- a/Tests/Quotas/CreditGrantorLeaseTest.cpp
+++ b/Tests/Quotas/CreditGrantorLeaseTest.cpp
@@ -109,15 +109,17 @@
             this->watch(each);
         if (each.pendingWrite && this->now >= each.pendingUntil)
             this->finishWrite(each);
-        const auto heard = [this](const std::string& name) -> std::optional<CreditGrantorLease::Heard> {
+        const auto heard = [this](const std::string& name) -> std::optional<CreditGrantorLease::LastMessage> {
             for (const Instance& other : this->instances) {
                 if (other.tenure && !other.isSuspended && other.self.incarnation().name() == name)
-                    return CreditGrantorLease::Heard{ .member = other.self, .at = this->now };
+                    return CreditGrantorLease::LastMessage{ .member = other.self, .at = this->now };
             }
             return std::nullopt;
         };
-        auto call = each.tenure->next(
-            { .stored = each.view ? &*each.view : nullptr, .leads = each.leads, .isWatching = true, .heard = heard },
+        auto call = each.tenure->next({ .stored = each.view ? &*each.view : nullptr,
+                                          .leads = each.leads,
+                                          .isWatching = true,
+                                          .findLastMessage = heard },
             this->now);
         if (!call)
             return;
@@ -270,9 +272,11 @@
     StoreCallNumbers numbers;
     Random random(1);
     CreditGrantorLease tenure({}, numbers, random);
-    const auto heard = [](const std::string&) -> std::optional<CreditGrantorLease::Heard> { return std::nullopt; };
+    const auto heard
+        = [](const std::string&) -> std::optional<CreditGrantorLease::LastMessage> { return std::nullopt; };
     for (double time = 0; time < 20000; time += 100)
         CHECK_FALSE(tenure.next(
-            { .stored = nullptr, .leads = true, .isWatching = true, .isNeeded = false, .heard = heard }, { time }));
+            { .stored = nullptr, .leads = true, .isWatching = true, .isNeeded = false, .findLastMessage = heard },
+            { time }));
     CHECK(tenure.mode({ 20000 }) == GrantMode::None);
 }
