--- a/Benchmarks/Bench.cc
+++ b/Benchmarks/Bench.cc
@@ -113,9 +113,9 @@
         if (!isHigh && !isLow)
             continue;
         ++broken;
-        std::cerr << pointer << " is " << value << ", past its bound " << bound.dump() << '\n';
+        std::cerr << pointer << " is " << value << ", outside its bound " << bound.dump() << '\n';
     }
-    std::cerr << bounds.size() - static_cast<std::size_t>(broken) << " bounds kept, " << broken << " broken\n";
+    std::cerr << bounds.size() - static_cast<std::size_t>(broken) << " bounds met, " << broken << " violated\n";
     return broken ? 1 : 0;
 }
 
