--- a/Tests/Soak/ChildProcess.cpp
+++ b/Tests/Soak/ChildProcess.cpp
@@ -20,8 +20,7 @@
 [[noreturn]] void become(const std::vector<char*>& arguments, const char* log)
 {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
-    // A connection of a proxy that a child inherits would stay open, and silent for its peer, after the proxy closes
-    // it.
+    // A proxy's connection that the child inherits would stay open, and silent for its peer, after the proxy closes it.
     constexpr unsigned first = STDERR_FILENO + 1;
     constexpr unsigned last = ~0U;
     close_range(first, last, CLOSE_RANGE_CLOEXEC);
--- a/Tests/Soak/FaultSoak.cc
+++ b/Tests/Soak/FaultSoak.cc
@@ -140,15 +140,15 @@
 
 int main(int argc, char** argv)
 {
-    CLI::App program("Plays random faults against real processes and checks what must hold");
+    CLI::App program("Injects random faults into real processes and checks the guarantees");
     SoakOptions options;
-    program.add_option("--build", options.build, "The build folder")->required();
-    program.add_option("--folder", options.folder, "For logs; those of broken seeds stay");
-    program.add_option("--seed", options.seeds, "Seeds to play")->required();
-    program.add_option("--instances", options.instances, "Instances of burlreach");
-    program.add_option("--servers", options.servers, "Backend servers");
-    program.add_option("--seconds", options.seconds, "Length of each run");
-    program.add_option("--first-port", options.firstPort, "The lowest port on 127.0.0.1");
+    program.add_option("--build", options.build, "Build folder with the programs")->required();
+    program.add_option("--folder", options.folder, "Folder for logs; those of broken seeds are kept");
+    program.add_option("--seed", options.seeds, "Seeds to run")->required();
+    program.add_option("--instances", options.instances, "Number of burlreach instances");
+    program.add_option("--servers", options.servers, "Number of backend servers");
+    program.add_option("--seconds", options.seconds, "Length of each run in seconds");
+    program.add_option("--first-port", options.firstPort, "Lowest port used on 127.0.0.1");
     CLI11_PARSE(program, argc, argv);
     std::size_t failed = 0;
     for (const std::uint64_t seed : options.seeds)
--- a/Tests/Soak/SoakChecker.h
+++ b/Tests/Soak/SoakChecker.h
@@ -30,8 +30,7 @@
     void checkNothingCut(const CallersResult& told);
     /** Checks that every request was answered; for callers that start after all faults have ended. */
     void checkAllAnswered(const CallersResult& told);
-    /** Checks other callers of the servers that crash: none is refused as the cause of the crashes, and some are
-     * served. */
+    /** Checks that other callers of the crashing servers are not refused as the cause, and that some are served. */
     void checkNeighbours(const CallersResult& told);
     /** Checks that instances followed the notices that servers sent to them: leaving, pauses and limits. */
     void checkWords();
--- a/Tests/Soak/SoakFleet.h
+++ b/Tests/Soak/SoakFleet.h
@@ -42,8 +42,7 @@
     void end(const SoakStep& step);
     /** Ends all faults and starts every process that does not run. */
     void heal();
-    /** Restarts instances that have completed a planned stop, and calls tend() of the crashing load and the new lives.
-     */
+    /** Restarts instances that have completed a planned stop; tends the crashing load and the new lives. */
     void tend();
     /** Waits until every instance is ready with the latest accepted change; returns false after this time. */
     bool settles(Milliseconds patience);
--- a/Tests/StandIns/BackendServerStandIn.cc
+++ b/Tests/StandIns/BackendServerStandIn.cc
@@ -210,12 +210,12 @@
 {
     CLI::App program("Stand-in for a backend server");
     Options options;
-    program.add_option("--name", options.name, "Name told in answers")->required();
+    program.add_option("--name", options.name, "Name sent in answers")->required();
     program.add_option("--port", options.port, "Port on 127.0.0.1")->required();
-    program.add_option("--slots", options.slots, "Requests worked on at once");
-    program.add_option("--queue", options.queue, "Requests waiting before it sheds");
-    program.add_option("--service-milliseconds", options.serviceMilliseconds, "Time for one request");
-    program.add_option("--journal", options.journalPath, "File to which the ids of runs are appended");
+    program.add_option("--slots", options.slots, "Requests processed at once");
+    program.add_option("--queue", options.queue, "Requests that may wait; more are refused");
+    program.add_option("--service-milliseconds", options.serviceMilliseconds, "Processing time of one request");
+    program.add_option("--journal", options.journalPath, "File to which the ids of processed requests are appended");
     CLI11_PARSE(program, argc, argv);
     BackendServerStandIn standIn(options);
     return standIn.listen() ? 0 : 1;
--- a/Tests/StandIns/CallerStandIn.cc
+++ b/Tests/StandIns/CallerStandIn.cc
@@ -245,16 +245,17 @@
 {
     CLI::App program("Stand-in for callers");
     Options options;
-    program.add_option("--port", options.ports, "Ports of balancers on 127.0.0.1")->required();
-    program.add_option("--host", options.host, "Host value");
-    program.add_option("--prefix", options.prefix, "Begins every request id");
-    program.add_option("--sessions", options.sessions, "Sessions at once");
-    program.add_option("--pipelined-sessions", options.pipelinedSessions, "Sessions besides that send searches ahead");
-    program.add_option("--requests", options.requests, "Requests in each session");
-    program.add_option("--seconds", options.seconds, "Send for so long instead");
-    program.add_option("--booking-percent", options.bookingPercent, "Share of bookings");
-    program.add_option("--pause-milliseconds", options.pauseMilliseconds, "Between two requests of a session");
-    program.add_option("--output", options.output, "File for the result");
+    program.add_option("--port", options.ports, "Ports of instances on 127.0.0.1")->required();
+    program.add_option("--host", options.host, "Value of the Host field");
+    program.add_option("--prefix", options.prefix, "Prefix of every request id");
+    program.add_option("--sessions", options.sessions, "Number of concurrent sessions");
+    program.add_option(
+        "--pipelined-sessions", options.pipelinedSessions, "Number of additional sessions that pipeline searches");
+    program.add_option("--requests", options.requests, "Number of requests in each session");
+    program.add_option("--seconds", options.seconds, "Send for this many seconds instead of a number of requests");
+    program.add_option("--booking-percent", options.bookingPercent, "Percentage of bookings among the requests");
+    program.add_option("--pause-milliseconds", options.pauseMilliseconds, "Pause between two requests of a session");
+    program.add_option("--output", options.output, "File for the result; standard output if absent");
     CLI11_PARSE(program, argc, argv);
     Tally tally = CallerStandIn(options).run();
     const std::size_t answered = tally.milliseconds.size();
--- a/Tests/StandIns/SpokenWords.cpp
+++ b/Tests/StandIns/SpokenWords.cpp
@@ -8,8 +8,7 @@
 constexpr std::chrono::milliseconds OnItsWay{ 500 };
 /** Requests during a pause that are not yet a violation. */
 constexpr int MostDuringPause = 2;
-/** Sliding window in which arrivals are compared with the limit, once LimitSettling has passed since its first report.
- */
+/** Sliding window in which arrivals are checked, from LimitSettling after the first report of the limit. */
 constexpr std::chrono::seconds LimitWindow{ 4 };
 constexpr std::chrono::milliseconds LimitSettling{ 1000 };
 constexpr double LimitFactor = 1.5;
--- a/Tests/Virtual/LimitsKept.cpp
+++ b/Tests/Virtual/LimitsKept.cpp
@@ -31,8 +31,7 @@
 
 std::vector<Milliseconds> sentDespiteWord(const VirtualFleet& fleet, const std::string& server, const LimitBound& bound)
 {
-    std::map<std::pair<std::size_t, std::uint64_t>, Milliseconds>
-        heard; // time of the first report, by instance and life
+    std::map<std::pair<std::size_t, std::uint64_t>, Milliseconds> heard; // first report, by instance and life
     for (const HeardNotice& notice : fleet.heardNotices()) {
         if (notice.notice.limit && isServer(notice.backendServer, server))
             heard.emplace(std::pair(notice.instance, notice.life), notice.at);
--- a/Tests/Virtual/LimitsKept.h
+++ b/Tests/Virtual/LimitsKept.h
@@ -18,8 +18,7 @@
     Milliseconds onItsWay{ 500 }; // grace from when an instance receives the limit until it must keep to it
 };
 
-/** The highest number of requests in one window, from the times at which they were sent; only windows that end at or
- * after endsAfter count. */
+/** The most requests in one window, given the times of all requests; windows that end before endsAfter are ignored. */
 std::size_t mostInWindow(std::vector<Milliseconds> times, Milliseconds window, Milliseconds endsAfter);
 
 /**
@@ -29,8 +28,10 @@
 std::vector<Milliseconds> sentDespiteWord(
     const VirtualFleet& fleet, const std::string& server, const LimitBound& bound);
 
-/** One sentence for each server that was sent more than its limit allows; requests sent after until, when servers stop
- * reporting limits, are ignored. */
+/**
+ * One sentence for each server that was sent more than its limit allows. Requests after until, when servers stop
+ * reporting limits, are ignored.
+ */
 std::vector<std::string> limitsExceeded(const VirtualFleet& fleet, const LimitBound& bound, Milliseconds until);
 
 }
--- a/Tests/Virtual/ParallelRuns.h
+++ b/Tests/Virtual/ParallelRuns.h
@@ -5,8 +5,7 @@
 
 namespace burlreach {
 
-/** Calls the function once for each index below the count, on as many threads as there are cores; the calls must not
- * share mutable state. */
+/** Calls the function once for each index, on all cores; the calls must not share mutable state. */
 void runInParallel(std::size_t count, const std::function<void(std::size_t)>& run);
 
 }
--- a/Tests/Virtual/VirtualBackendServer.h
+++ b/Tests/Virtual/VirtualBackendServer.h
@@ -71,8 +71,7 @@
     void cancel(std::uint64_t attempt);
     /** The answer to a probe, or nothing if the server does not answer probes. */
     std::optional<ReportedLoad> probed() const;
-    /** The notice that the server sends with an answer; it asks for a pause only when it refuses the request or probe.
-     */
+    /** The notice that the server sends with an answer; only refusals ask for a pause. */
     ServerNotice notice(bool turnsAway) const
     {
         return { .isLeaving = this->leaving, .pause = turnsAway ? this->pause : Milliseconds{}, .limit = this->limit };
@@ -83,8 +82,10 @@
     void setFrozenReport(bool frozen) { this->reportIsFrozen = frozen; }
     /** Sets whether answers report that the server is leaving. */
     void setLeaving(bool says) { this->leaving = says; }
-    /** Sets the pause that refusals ask for: of requests while the server refuses or is full, of probes while it
-     * refuses. */
+    /**
+     * Sets the pause that refusals ask for: of requests while the server refuses or is full, of probes while it
+     * refuses.
+     */
     void setPause(Milliseconds span) { this->pause = span; }
     /** Sets the limit that answers report, in requests per second from all instances together; nothing: no limit. */
     void setLimit(std::optional<double> perSecond) { this->limit = perSecond; }
--- a/Tests/Virtual/VirtualStore.h
+++ b/Tests/Virtual/VirtualStore.h
@@ -85,8 +85,7 @@
     void wakeWatches();
     void note(const StoreItem& item);
     void reply(const Answer& answer, StoreAnswer given);
-    /** The delay from now until this many bytes have been sent over the store's link, after everything already queued.
-     */
+    /** The delay until this many bytes have been sent over the store's link, behind everything already queued. */
     Milliseconds throughLink(std::size_t bytes);
 
     Options options;
--- a/Tests/Virtual/VirtualTime.h
+++ b/Tests/Virtual/VirtualTime.h
@@ -10,8 +10,7 @@
 
 namespace burlreach {
 
-/** A simulated clock that advances to the time of the next scheduled task; tasks due at the same time run in the order
- * in which they were scheduled. */
+/** A simulated clock that jumps to the next scheduled task; tasks due at the same time run in scheduling order. */
 class VirtualTime final : public Clock {
 public:
     using Task = std::function<void()>;
