--- a/Tests/FaultMatrix/Fault.h
+++ b/Tests/FaultMatrix/Fault.h
@@ -14,7 +14,7 @@
     std::function<void(VirtualFleet&)> inject;
     std::function<void(VirtualFleet&)> heal;
     bool hitsStore = false; // affects the whole store; bounds counted from its answers do not hold meanwhile
-    Milliseconds lasts; // time from the injection until the fault ends by itself; 0: until healed
+    Milliseconds lasts; // time from the injection until the fault ends by itself; 0: it does not
     bool isConfined = true; // the other instances and servers must keep serving during the fault
 };
 
--- a/Tests/Virtual/VirtualBackendServer.h
+++ b/Tests/Virtual/VirtualBackendServer.h
@@ -59,7 +59,7 @@
         double workSpread = 0; // random spread of the work of one request
         /** Applies changes of speed to running requests; otherwise each keeps the speed at which it began. */
         bool changesSpeedAtWork = false;
-        double kneeUse = 1; // share of the slots; with more of them taken, all work on the server is slower
+        double kneeUse = 1; // share of the slots; beyond it work is slower (with changesSpeedAtWork)
         double kneeFactor = 1; // how many times longer work takes beyond that share
         Milliseconds restart{ 3000 }; // time from a crash until the process runs again
     };
--- a/Tests/Virtual/VirtualCaller.h
+++ b/Tests/Virtual/VirtualCaller.h
@@ -14,7 +14,7 @@
     Failed, // received a backend server's error answer
     NotRun, // refused: no backend server ran the request, and none will
     Unknown, // refused: a backend server may have run the request
-    Cut, // the instance was killed before it answered
+    Cut, // the instance was not running or was killed before it answered
     Left // the caller gave up and disconnected
 };
 
