--- a/Tests/Virtual/VirtualFleet.cpp
+++ b/Tests/Virtual/VirtualFleet.cpp
@@ -33,7 +33,7 @@
 template <>
 constexpr std::string_view StepName<CancelAttempt> = "cancel-attempt";
 template <>
-constexpr std::string_view StepName<PassAnswer> = "pass-answer";
+constexpr std::string_view StepName<ForwardAnswer> = "pass-answer";
 template <>
 constexpr std::string_view StepName<RefuseRequest> = "refuse-request";
 template <>
@@ -41,7 +41,7 @@
 template <>
 constexpr std::string_view StepName<SendToPeer> = "send-to-peer";
 template <>
-constexpr std::string_view StepName<AskStore> = "ask-store";
+constexpr std::string_view StepName<CallStore> = "ask-store";
 template <>
 constexpr std::string_view StepName<RequestArrived> = "request-arrived";
 template <>
